--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -267,7 +267,7 @@
 	void (*on_done)(
 	    struct kwb_store_call *call, const struct kwb_store_answer *answer);
 	void *context;
-	void *driver; /* the implementation's; NULL when not in progress */
+	void *pending; /* the implementation's; NULL when not in progress */
 };
 
 #define KWB_TX_ROWS_MAX 100
@@ -316,20 +316,20 @@
 	void (*cancel)(struct kwb_store *store, struct kwb_store_call *call);
 	/* Ends calls begun before then as unknown; their number. */
 	uint32_t (*give_up)(struct kwb_store *store, uint64_t before_ns);
-	/* Sends again what waits too long; kwb_again_is_due() says what. */
-	void (*send_again)(struct kwb_store *store);
+	/* Sends again what waits too long; kwb_resend_is_due() says what. */
+	void (*resend_overdue)(struct kwb_store *store);
 };
 
 struct kwb_store {
 	const struct kwb_store_ops *ops;
 	/* Calls go through it, a peer that passes them on; NULL for none. */
 	const struct kwb_address *relay;
-	uint64_t answered_ns;	    /* last answer, kwb_clock_now_ns() */
-	uint64_t own_answered_ns;   /* likewise, without a peer */
-	uint64_t relay_answered_ns; /* likewise, through a peer */
-	uint64_t failed_ns;	    /* last call refused or without answer */
-	uint64_t returned_ns;	    /* first answer after it was away */
-	int64_t clock_offset_ms;    /* store's clock less kwb_boot_now_ns() */
+	uint64_t last_answer_ns;   /* last answer, kwb_clock_now_ns() */
+	uint64_t direct_answer_ns; /* likewise, without a peer */
+	uint64_t relay_answer_ns;  /* likewise, through a peer */
+	uint64_t last_failure_ns;  /* last call refused or without answer */
+	uint64_t recovered_ns;	   /* first answer after it was away */
+	int64_t clock_offset_ms;   /* store's clock less kwb_boot_now_ns() */
 	uint64_t calls_count;
 };
 
@@ -339,11 +339,11 @@
     struct kwb_store *store, struct kwb_store_call *call); /* no callback */
 int kwb_store_probe(struct kwb_store *store,
     struct kwb_store_call *call); /* a small read, to see if it answers */
-bool kwb_store_is_answer(
+bool kwb_store_has_answered(
     const struct kwb_store_answer *answer); /* of the store, not a failure */
 void kwb_store_give_up(struct kwb_store *store,
     uint64_t before_ns); /* ends calls begun before then as unknown */
-void kwb_store_note(struct kwb_store *store,
+void kwb_store_record_answer(struct kwb_store *store,
     const struct kwb_store_answer *answer,
     bool is_relayed); /* for implementations */
 uint64_t kwb_store_now_ms(
@@ -360,26 +360,26 @@
  * Second copies of calls, for connections or parts of the store that fall
  * silent while others are answered.
  */
-enum kwb_again {
-	KWB_AGAIN_NEVER,
-	KWB_AGAIN_READ, /* changes nothing */
-	KWB_AGAIN_WRITE /* comes into force once, however often it is sent */
+enum kwb_resend_policy {
+	KWB_RESEND_NEVER,
+	KWB_RESEND_READ, /* changes nothing */
+	KWB_RESEND_WRITE /* comes into force once, however often it is sent */
 };
 
-enum kwb_again kwb_tx_again(
+enum kwb_resend_policy kwb_tx_resend_policy(
     const struct kwb_tx *tx); /* a write if its first condition ends with it */
-bool kwb_again_is_due(
-    enum kwb_again again, uint64_t sent_ns, uint64_t now_ns); /* of last copy */
+bool kwb_resend_is_due(enum kwb_resend_policy again, uint64_t sent_ns,
+    uint64_t now_ns); /* of last copy */
 
 /*
  * Whether an answer to one copy ends the call. error: 0 or KWB_ERR_STORE_*;
  * changed to what the caller is told. others: copies still without answer.
  */
-bool kwb_again_ends(
-    enum kwb_again again, uint32_t copies, uint32_t others, int *error);
+bool kwb_resend_ends_call(
+    enum kwb_resend_policy again, uint32_t copies, uint32_t others, int *error);
 
 /* Notices a silent store's return and gives up what it will not answer. */
-struct kwb_store_watch {
+struct kwb_store_watchdog {
 	struct kwb_store *store;
 	struct kwb_store_call probe;
 	struct event *timer;
@@ -388,9 +388,9 @@
 	bool silent;
 };
 
-int kwb_store_watch_init(struct kwb_store_watch *watch, struct event_base *base,
-    struct kwb_store *store); /* begins to watch */
-void kwb_store_watch_finish(struct kwb_store_watch *watch); /* ends it */
+int kwb_store_watchdog_init(struct kwb_store_watchdog *watch,
+    struct event_base *base, struct kwb_store *store); /* begins to watch */
+void kwb_store_watchdog_finish(struct kwb_store_watchdog *watch); /* ends it */
 
 /* Keeps in step with one table's part "", through read and feed. */
 struct kwb_follower_row {
@@ -427,7 +427,7 @@
     void (*on_row)(void *context, const struct kwb_row *row),
     void (*on_synced)(void *context), void *context);	 /* begins */
 void kwb_follower_finish(struct kwb_follower *follower); /* ends it */
-bool kwb_follower_current(const struct kwb_follower *follower,
+bool kwb_follower_is_current(const struct kwb_follower *follower,
     uint64_t age_ns); /* synced, and answered within that age */
 
 /* A lease row with a fencing token; one holder among all nodes. */
@@ -459,7 +459,7 @@
 void kwb_store_lease_finish(struct kwb_store_lease *lease); /* stops trying */
 uint64_t kwb_store_lease_fence(
     const struct kwb_store_lease *lease); /* token while held, else 0 */
-void kwb_store_lease_lose(
+void kwb_store_lease_mark_lost(
     struct kwb_store_lease *lease); /* a higher token was seen */
 void kwb_store_lease_step_down(
     struct kwb_store_lease *lease); /* gives it up for good */
@@ -491,32 +491,34 @@
 /* ---- Peers: a way round a cut path to the store -------------------------- */
 
 enum kwb_path {
-	KWB_PATH_OWN,	/* calls go to the store itself */
-	KWB_PATH_ASK,	/* likewise; nothing was answered lately: it is asked */
+	KWB_PATH_DIRECT, /* calls go to the store itself */
+	KWB_PATH_PROBE, /* likewise; nothing was answered lately: it is asked */
 	KWB_PATH_RELAY, /* through the peer that is in use */
-	KWB_PATH_SEEK	/* neither answers: a peer is looked for */
+	KWB_PATH_SEARCH /* neither answers: a peer is looked for */
 };
 
-/* What the choice of a way looks at; see kwb_path_wanted(). */
+/* What the choice of a way looks at; see kwb_path_choose(). */
 struct kwb_path_input {
-	uint64_t own_quiet_ns;	 /* since the last answer without a peer */
-	uint64_t own_asked_ns;	 /* for so long a question is unanswered, 0 */
-	uint64_t relay_quiet_ns; /* since the last one through a peer */
-	bool is_relayed;	 /* a peer is in use */
+	uint64_t direct_silence_ns; /* since the last answer without a peer */
+	uint64_t
+	    probe_unanswered_ns;   /* for so long a question is unanswered, 0 */
+	uint64_t relay_silence_ns; /* since the last one through a peer */
+	bool is_relayed;	   /* a peer is in use */
 };
 
-enum kwb_path kwb_path_wanted(const struct kwb_path_input *input); /* pure */
+enum kwb_path kwb_path_choose(const struct kwb_path_input *input); /* pure */
 
 /* What decides whether a peer's connection is passed on. */
 struct kwb_relay_input {
-	uint64_t own_quiet_ns; /* since the store last answered this node */
+	uint64_t
+	    direct_silence_ns; /* since the store last answered this node */
 	bool is_relayed;       /* this node's calls go through a peer */
 	bool is_stopping;
 	uint32_t pairs;
 	uint32_t pairs_max;
 };
 
-bool kwb_relay_accepts(const struct kwb_relay_input *input); /* pure */
+bool kwb_relay_can_accept(const struct kwb_relay_input *input); /* pure */
 
 struct kwb_relay_pair;
 TAILQ_HEAD(kwb_relay_pair_list, kwb_relay_pair);
@@ -565,9 +567,9 @@
     struct kwb_store *store); /* begins to write and read rows */
 void kwb_peers_finish(struct kwb_peers *peers); /* ends it */
 const struct kwb_peer *kwb_peers_next(
-    struct kwb_peers *peers);		   /* by turns; NULL for none */
-uint64_t kwb_peer_place(const char *node); /* on the ring of nodes */
-uint32_t kwb_peers_fleet(const struct kwb_peers
+    struct kwb_peers *peers);			   /* by turns; NULL for none */
+uint64_t kwb_peer_ring_position(const char *node); /* on the ring of nodes */
+uint32_t kwb_peers_estimate_nodes(const struct kwb_peers
 	*peers); /* nodes in all, reckoned from how close the peers are */
 
 struct kwb_detour;
@@ -589,7 +591,7 @@
 	struct kwb_peer peer;		 /* in use while store->relay is set */
 	struct kwb_detour_probe own;	 /* without a peer */
 	struct kwb_detour_probe through; /* the peer in use */
-	struct kwb_detour_probe seeks[KWB_PATH_SEEKS];
+	struct kwb_detour_probe seeks[KWB_PATH_PARALLEL_PROBES];
 	uint32_t tries;	   /* left in this look */
 	uint64_t asked_ns; /* first unanswered question, 0 */
 };
@@ -1359,7 +1361,7 @@
 	struct kwb_batch_env batch_env;
 	struct kwb_batches batches;
 	struct kwb_mover mover;
-	struct kwb_store_watch store_watch;
+	struct kwb_store_watchdog store_watch;
 	struct kwb_relay relay;
 	struct kwb_peers peers;
 	struct kwb_detour detour;
--- a/include/kwb_trace.h
+++ b/include/kwb_trace.h
@@ -19,7 +19,7 @@
 	KWB_TRACE_TAKE_OVER,  /* another node loads the batch */
 	KWB_TRACE_REWARD,     /* its reward is asked for */
 	KWB_TRACE_LISTING,    /* results are being listed */
-	KWB_TRACE_KINDS	      /* their number */
+	KWB_TRACE_KIND_COUNT  /* their number */
 };
 
 /* One line of a log that says something of the batch. */
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -116,7 +116,7 @@
 	 * A node that the store has turned away for so long may have missed
 	 * the end of a batch: what runs goes on, nothing new starts.
 	 */
-	if (kwb_clock_now_ns() - batches->env->store->answered_ns <
+	if (kwb_clock_now_ns() - batches->env->store->last_answer_ns <
 	    KWB_START_STORE_NS)
 		TAILQ_FOREACH (batch, &batches->running, entry)
 			left |= batch_pump(batch);
--- a/src/batch/list.c
+++ b/src/batch/list.c
@@ -70,7 +70,7 @@
 	struct kwb_store *store = batch->batches->env->store;
 	char name[OBJECT_NAME_BYTES];
 
-	if (batch->text_call.driver != NULL)
+	if (batch->text_call.pending != NULL)
 		return;
 	text_name(run, name);
 	batch->text_run = run;
--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -141,7 +141,7 @@
 	const struct kwb_node_beat *beat = beat_find(batches, row->key);
 
 	if (beat == NULL || beat->revision != row->revision ||
-	    batches->forget.driver != NULL ||
+	    batches->forget.pending != NULL ||
 	    kwb_boot_now_ns() - beat->changed_ns < KWB_BEAT_FORGET_NS)
 		return;
 	memset(&tx, 0, sizeof(tx));
@@ -409,7 +409,7 @@
 	    now_ns - batches->owned_ns < KWB_OWNER_STAY_NS &&
 	    now_ns - batches->beat_ns >= KWB_BEAT_NS)
 		beat_write(batches);
-	if (look && !batches->leaving && batches->look.driver == NULL) {
+	if (look && !batches->leaving && batches->look.pending == NULL) {
 		struct kwb_range range = {.table = TABLE_NODES, .part = ""};
 
 		batches->look.on_done = look_answer;
--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -297,7 +297,7 @@
 	uint32_t i;
 
 	if (!batch->loaded || batch->leaving || batch->closing ||
-	    batch->checkpoint.driver != NULL ||
+	    batch->checkpoint.pending != NULL ||
 	    now_ns - batch->checkpoint_ns < KWB_CHECKPOINT_NS)
 		return;
 	batch->checkpoint_ns = now_ns;
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -312,6 +312,6 @@
 
 	TAILQ_FOREACH (read, &batches->reads, entry)
 		if (strcmp(read->batch, batch) == 0 &&
-		    read->call.driver == NULL)
+		    read->call.pending == NULL)
 			kwb_timer_at(read->timer, 0);
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -83,9 +83,9 @@
 
 	if (upstream == NULL)
 		return;
-	if (now_ns < node->store->returned_ns + KWB_ENTRY_BACK_NS) {
+	if (now_ns < node->store->recovered_ns + KWB_ENTRY_BACK_NS) {
 		upstream->gone_ns =
-		    node->store->returned_ns + KWB_ENTRY_BACK_NS;
+		    node->store->recovered_ns + KWB_ENTRY_BACK_NS;
 		return;
 	}
 	kwb_log(KWB_LOG_INFO, "node", "event=upstream_gone id=%s", id);
@@ -147,7 +147,8 @@
 {
 	return node->stop_deadline_ns == 0 && node->config != NULL &&
 	    node->upstream_rows.synced && node->batches.follower.synced &&
-	    kwb_clock_now_ns() - node->store->answered_ns < KWB_READY_STORE_NS;
+	    kwb_clock_now_ns() - node->store->last_answer_ns <
+	    KWB_READY_STORE_NS;
 }
 
 static bool
@@ -168,7 +169,7 @@
 	(void)fd;
 	(void)what;
 	sweep_gone(node);
-	node->batches.nodes = kwb_peers_fleet(&node->peers);
+	node->batches.nodes = kwb_peers_estimate_nodes(&node->peers);
 	if (node->stop_deadline_ns != 0 && may_end(node, now_ns)) {
 		kwb_log(KWB_LOG_INFO, "node",
 		    "event=stopped after_ms=%llu busy=%u",
@@ -217,7 +218,7 @@
 		code = kwb_mover_init(
 		    &node->mover, &node->batch_env, &node->batches);
 	if (code == 0)
-		code = kwb_store_watch_init(
+		code = kwb_store_watchdog_init(
 		    &node->store_watch, node->base, node->store);
 	if (code == 0)
 		code = kwb_relay_init(
@@ -319,7 +320,7 @@
 	kwb_detour_finish(&node->detour);
 	kwb_peers_finish(&node->peers);
 	kwb_relay_finish(&node->relay);
-	kwb_store_watch_finish(&node->store_watch);
+	kwb_store_watchdog_finish(&node->store_watch);
 	kwb_follower_finish(&node->operator_rows);
 	kwb_follower_finish(&node->upstream_rows);
 	kwb_mover_finish(&node->mover);
--- a/src/peer/detour.c
+++ b/src/peer/detour.c
@@ -37,7 +37,7 @@
 		kwb_log(KWB_LOG_INFO, "detour",
 		    "event=relayed peer=%s own_quiet_ms=%llu", peer->node,
 		    (unsigned long long)((kwb_clock_now_ns() -
-					     store->own_answered_ns) /
+					     store->direct_answer_ns) /
 			KWB_MS_NS));
 		kwb_metric_add(KWB_METRIC_DETOURS, 1);
 	} else if (store->relay != NULL) {
@@ -55,12 +55,12 @@
 	struct kwb_store *store = detour->store;
 	uint64_t now_ns = kwb_clock_now_ns();
 
-	if (!kwb_store_is_answer(answer)) {
+	if (!kwb_store_has_answered(answer)) {
 		seek_next(detour, probe);
 		return;
 	}
 	if (store->relay != NULL ||
-	    now_ns - store->own_answered_ns < KWB_PATH_QUIET_NS)
+	    now_ns - store->direct_answer_ns < KWB_PATH_SILENT_NS)
 		return; /* another way was found first */
 	set_relay(detour, &probe->peer);
 	kwb_store_give_up(store, probe->begin_ns);
@@ -90,7 +90,7 @@
 	struct kwb_detour_probe *probe = call->context;
 	struct kwb_detour *detour = probe->detour;
 
-	if (kwb_store_is_answer(answer))
+	if (kwb_store_has_answered(answer))
 		set_relay(detour, NULL);
 }
 
@@ -108,7 +108,7 @@
     void (*on_done)(
 	struct kwb_store_call *call, const struct kwb_store_answer *answer))
 {
-	if (kwb_clock_now_ns() - probe->begin_ns < KWB_PATH_PROBE_NS)
+	if (kwb_clock_now_ns() - probe->begin_ns < KWB_PATH_PROBE_TIMEOUT_NS)
 		return;
 	kwb_store_cancel(detour->store, &probe->call);
 	probe->call.on_done = on_done;
@@ -123,12 +123,12 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
-	detour->tries = KWB_PATH_TRIES;
-	for (i = 0; i < KWB_PATH_SEEKS; i++) {
+	detour->tries = KWB_PATH_SEARCH_PEERS;
+	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++) {
 		struct kwb_detour_probe *probe = &detour->seeks[i];
 
-		if (probe->call.driver != NULL &&
-		    now_ns - probe->begin_ns < KWB_PATH_PROBE_NS)
+		if (probe->call.pending != NULL &&
+		    now_ns - probe->begin_ns < KWB_PATH_PROBE_TIMEOUT_NS)
 			continue;
 		kwb_store_cancel(detour->store, &probe->call);
 		seek_next(detour, probe);
@@ -145,23 +145,23 @@
 
 	(void)fd;
 	(void)what;
-	if (store->own_answered_ns >= detour->asked_ns)
+	if (store->direct_answer_ns >= detour->asked_ns)
 		detour->asked_ns = 0;
 	input = (struct kwb_path_input){
-	    .own_quiet_ns = now_ns - store->own_answered_ns,
-	    .own_asked_ns =
+	    .direct_silence_ns = now_ns - store->direct_answer_ns,
+	    .probe_unanswered_ns =
 		detour->asked_ns != 0 ? now_ns - detour->asked_ns : 0,
-	    .relay_quiet_ns = now_ns - store->relay_answered_ns,
+	    .relay_silence_ns = now_ns - store->relay_answer_ns,
 	    .is_relayed = store->relay != NULL};
-	kwb_timer_at(detour->timer, now_ns + KWB_PATH_LOOK_NS);
-	if (store->own_answered_ns == 0 && store->relay == NULL &&
+	kwb_timer_at(detour->timer, now_ns + KWB_PATH_CHECK_NS);
+	if (store->direct_answer_ns == 0 && store->relay == NULL &&
 	    detour->peers->known_count == 0)
 		return; /* has just started: knows no peers */
-	switch (kwb_path_wanted(&input)) {
-	case KWB_PATH_OWN:
+	switch (kwb_path_choose(&input)) {
+	case KWB_PATH_DIRECT:
 		set_relay(detour, NULL);
 		break;
-	case KWB_PATH_ASK:
+	case KWB_PATH_PROBE:
 		if (detour->asked_ns == 0)
 			detour->asked_ns = now_ns;
 		set_relay(detour, NULL);
@@ -169,11 +169,11 @@
 		break;
 	case KWB_PATH_RELAY:
 		probe_begin(detour, &detour->own, NULL, own_answer);
-		if (input.relay_quiet_ns >= KWB_PATH_QUIET_NS / 2)
+		if (input.relay_silence_ns >= KWB_PATH_SILENT_NS / 2)
 			probe_begin(detour, &detour->through, store->relay,
 			    relay_answer);
 		break;
-	case KWB_PATH_SEEK:
+	case KWB_PATH_SEARCH:
 		set_relay(detour, NULL);
 		seek(detour);
 		break;
@@ -194,12 +194,12 @@
 	detour->context = context;
 	detour->own.detour = detour;
 	detour->through.detour = detour;
-	for (i = 0; i < KWB_PATH_SEEKS; i++)
+	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++)
 		detour->seeks[i].detour = detour;
 	detour->timer = kwb_timer_new(base, detour_time, detour);
 	if (detour->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(detour->timer, kwb_clock_now_ns() + KWB_PATH_LOOK_NS);
+	kwb_timer_at(detour->timer, kwb_clock_now_ns() + KWB_PATH_CHECK_NS);
 	return 0;
 }
 
@@ -210,7 +210,7 @@
 
 	kwb_store_cancel(detour->store, &detour->own.call);
 	kwb_store_cancel(detour->store, &detour->through.call);
-	for (i = 0; i < KWB_PATH_SEEKS; i++)
+	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++)
 		kwb_store_cancel(detour->store, &detour->seeks[i].call);
 	event_free(detour->timer);
 }
--- a/src/peer/path.c
+++ b/src/peer/path.c
@@ -6,23 +6,23 @@
 #include "kwb_node.h"
 
 enum kwb_path
-kwb_path_wanted(const struct kwb_path_input *input)
+kwb_path_choose(const struct kwb_path_input *input)
 {
-	if (input->own_quiet_ns < KWB_PATH_QUIET_NS)
-		return KWB_PATH_OWN;
-	if (input->is_relayed && input->relay_quiet_ns < KWB_PATH_QUIET_NS)
+	if (input->direct_silence_ns < KWB_PATH_SILENT_NS)
+		return KWB_PATH_DIRECT;
+	if (input->is_relayed && input->relay_silence_ns < KWB_PATH_SILENT_NS)
 		return KWB_PATH_RELAY;
 	/* A node with little to do may just not have asked. */
-	if (input->own_asked_ns < KWB_PATH_ASKED_NS)
-		return KWB_PATH_ASK;
-	return KWB_PATH_SEEK;
+	if (input->probe_unanswered_ns < KWB_PATH_UNANSWERED_NS)
+		return KWB_PATH_PROBE;
+	return KWB_PATH_SEARCH;
 }
 
 /* A node that has lost its own path is of no use to another one. */
 bool
-kwb_relay_accepts(const struct kwb_relay_input *input)
+kwb_relay_can_accept(const struct kwb_relay_input *input)
 {
 	return !input->is_relayed && !input->is_stopping &&
-	    input->own_quiet_ns < KWB_RELAY_FRESH_NS &&
+	    input->direct_silence_ns < KWB_RELAY_FRESH_NS &&
 	    input->pairs < input->pairs_max;
 }
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -16,7 +16,7 @@
 
 /* Names differ in their last characters only; their places must not. */
 uint64_t
-kwb_peer_place(const char *node)
+kwb_peer_ring_position(const char *node)
 {
 	uint64_t hash = kwb_text_hash(node, 0);
 
@@ -29,7 +29,7 @@
 ring_key(char *key, const char *node)
 {
 	snprintf(key, KEY_BYTES, "%016llx",
-	    (unsigned long long)kwb_peer_place(node));
+	    (unsigned long long)kwb_peer_ring_position(node));
 }
 
 static bool
@@ -66,7 +66,7 @@
 	static struct kwb_tx tx;
 	struct kwb_store *store = peers->store;
 
-	if (peers->forget.driver != NULL)
+	if (peers->forget.pending != NULL)
 		return;
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_expect(&tx, TABLE_PEERS, "", row->key, row->revision);
@@ -88,7 +88,7 @@
 	if (!row_parse(row, &peer, &written_ms) ||
 	    strcmp(peer.node, peers->settings->node) == 0)
 		return;
-	if (now_ms > written_ms + KWB_PEER_GONE_MS) {
+	if (now_ms > written_ms + KWB_PEER_EXPIRY_MS) {
 		row_forget(peers, row);
 		return;
 	}
@@ -178,10 +178,10 @@
 
 	(void)fd;
 	(void)what;
-	kwb_timer_at(peers->timer, now_ns + KWB_PEERS_NS);
-	if (peers->write.driver != NULL || peers->read.driver != NULL)
+	kwb_timer_at(peers->timer, now_ns + KWB_PEERS_REFRESH_NS);
+	if (peers->write.pending != NULL || peers->read.pending != NULL)
 		return;
-	if (store->answered_ns == 0) {
+	if (store->last_answer_ns == 0) {
 		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
 		return; /* the store's clock is not known yet */
 	}
@@ -196,7 +196,7 @@
 	peers->write.context = peers;
 	/* The first read comes while others still write their rows. */
 	if (!peers->is_written)
-		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_FIRST_NS);
+		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_FIRST_REFRESH_NS);
 	if (store->ops->transact(store, &tx, &peers->write) != 0)
 		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
 }
@@ -210,15 +210,17 @@
 }
 
 uint32_t
-kwb_peers_fleet(const struct kwb_peers *peers)
+kwb_peers_estimate_nodes(const struct kwb_peers *peers)
 {
-	uint64_t own = kwb_peer_place(peers->settings->node);
+	uint64_t own = kwb_peer_ring_position(peers->settings->node);
 	uint64_t span;
 	double fleet;
 
 	if (peers->known_count < KWB_STORE_PEERS_MAX)
 		return peers->known_count + 1;
-	span = kwb_peer_place(peers->known[peers->known_count - 1].node) - own;
+	span =
+	    kwb_peer_ring_position(peers->known[peers->known_count - 1].node) -
+	    own;
 	fleet = (double)UINT64_MAX / (double)span * peers->known_count;
 	return (uint32_t)fleet;
 }
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -51,7 +51,7 @@
 	    evbuffer_get_length(bufferevent_get_input(side)));
 	evbuffer_add_buffer(out, bufferevent_get_input(side));
 	/* A side that does not read must not make this node hold its bytes. */
-	if (evbuffer_get_length(out) >= KWB_RELAY_HOLD_BYTES)
+	if (evbuffer_get_length(out) >= KWB_RELAY_BUFFER_BYTES)
 		bufferevent_disable(side, EV_READ);
 }
 
@@ -91,7 +91,7 @@
 	const struct timeval idle = {.tv_sec = KWB_RELAY_IDLE_S};
 
 	bufferevent_setcb(side, side_read, side_written, side_event, pair);
-	bufferevent_setwatermark(side, EV_READ, 0, KWB_RELAY_HOLD_BYTES);
+	bufferevent_setwatermark(side, EV_READ, 0, KWB_RELAY_BUFFER_BYTES);
 	bufferevent_set_timeouts(side, &idle, &idle);
 	bufferevent_enable(side, EV_READ | EV_WRITE);
 }
@@ -102,7 +102,8 @@
 {
 	struct kwb_relay *relay = context;
 	struct kwb_relay_input input = {
-	    .own_quiet_ns = kwb_clock_now_ns() - relay->store->own_answered_ns,
+	    .direct_silence_ns =
+		kwb_clock_now_ns() - relay->store->direct_answer_ns,
 	    .is_relayed = relay->store->relay != NULL,
 	    .is_stopping = relay->is_stopping,
 	    .pairs = relay->pairs_count,
@@ -112,7 +113,7 @@
 	(void)listener;
 	(void)from;
 	(void)from_bytes;
-	pair = kwb_relay_accepts(&input) ? calloc(1, sizeof(*pair)) : NULL;
+	pair = kwb_relay_can_accept(&input) ? calloc(1, sizeof(*pair)) : NULL;
 	if (pair == NULL) {
 		close(fd);
 		return;
--- a/src/store/again.c
+++ b/src/store/again.c
@@ -15,49 +15,50 @@
 	    strcmp(one->key, other->key) == 0;
 }
 
-enum kwb_again
-kwb_tx_again(const struct kwb_tx *tx)
+enum kwb_resend_policy
+kwb_tx_resend_policy(const struct kwb_tx *tx)
 {
 	uint32_t i;
 
 	if (tx->expect_count == 0)
-		return KWB_AGAIN_NEVER;
+		return KWB_RESEND_NEVER;
 	for (i = 0; i < tx->put_count; i++)
 		if (is_same_row(&tx->expect[0], &tx->put[i]))
-			return KWB_AGAIN_WRITE;
+			return KWB_RESEND_WRITE;
 	/* A removal of what isn't there leaves the condition as it was. */
 	for (i = 0; i < tx->remove_count && tx->expect[0].revision != 0; i++)
 		if (is_same_row(&tx->expect[0], &tx->remove[i]))
-			return KWB_AGAIN_WRITE;
-	return KWB_AGAIN_NEVER;
+			return KWB_RESEND_WRITE;
+	return KWB_RESEND_NEVER;
 }
 
 bool
-kwb_again_is_due(enum kwb_again again, uint64_t sent_ns, uint64_t now_ns)
+kwb_resend_is_due(
+    enum kwb_resend_policy again, uint64_t sent_ns, uint64_t now_ns)
 {
 	switch (again) {
-	case KWB_AGAIN_READ:
-		return now_ns >= sent_ns + KWB_READ_AGAIN_NS;
-	case KWB_AGAIN_WRITE:
-		return now_ns >= sent_ns + KWB_WRITE_AGAIN_NS;
-	case KWB_AGAIN_NEVER:
+	case KWB_RESEND_READ:
+		return now_ns >= sent_ns + KWB_READ_RESEND_NS;
+	case KWB_RESEND_WRITE:
+		return now_ns >= sent_ns + KWB_WRITE_RESEND_NS;
+	case KWB_RESEND_NEVER:
 		break;
 	}
 	return false;
 }
 
 bool
-kwb_again_ends(
-    enum kwb_again again, uint32_t copies, uint32_t others, int *error)
+kwb_resend_ends_call(
+    enum kwb_resend_policy again, uint32_t copies, uint32_t others, int *error)
 {
 	const struct kwb_store_answer answer = {.error = *error};
 
 	if (*error == 0 || copies < 2)
 		return true;
-	if (!kwb_store_is_answer(&answer) && others > 0)
+	if (!kwb_store_has_answered(&answer) && others > 0)
 		return false;
 	/* What one copy is told may be another's doing. */
-	if (again == KWB_AGAIN_WRITE)
+	if (again == KWB_RESEND_WRITE)
 		*error = KWB_ERR_STORE_UNKNOWN;
 	return true;
 }
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -162,7 +162,7 @@
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_follower *follower = call->context;
-	uint64_t wait_ns = KWB_FOLLOW_RETRY_NS;
+	uint64_t wait_ns = KWB_STORE_RETRY_NS;
 
 	if (answer->error == 0) {
 		follower->failures = 0;
@@ -208,7 +208,7 @@
 			follower->revision, KWB_FEED_WAIT_MS, &follower->call);
 	if (code != 0)
 		kwb_timer_at(
-		    follower->timer, kwb_clock_now_ns() + KWB_FOLLOW_RETRY_NS);
+		    follower->timer, kwb_clock_now_ns() + KWB_STORE_RETRY_NS);
 }
 
 static void
@@ -258,7 +258,7 @@
 }
 
 bool
-kwb_follower_current(const struct kwb_follower *follower, uint64_t age_ns)
+kwb_follower_is_current(const struct kwb_follower *follower, uint64_t age_ns)
 {
 	return follower->synced &&
 	    kwb_clock_now_ns() - follower->fresh_ns <= age_ns;
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -130,7 +130,7 @@
 	/* After a write without answer only a read tells what the row is. */
 	if (lease->fence == 0 || answer->error != KWB_ERR_STORE_REFUSED)
 		lease->writing = false;
-	lease_wait(lease, KWB_FOLLOW_RETRY_NS);
+	lease_wait(lease, KWB_STORE_RETRY_NS);
 }
 
 static void
@@ -202,7 +202,7 @@
 }
 
 void
-kwb_store_lease_lose(struct kwb_store_lease *lease)
+kwb_store_lease_mark_lost(struct kwb_store_lease *lease)
 {
 	if (lease->released || lease->fence == 0)
 		return;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -11,7 +11,7 @@
 void
 kwb_store_cancel(struct kwb_store *store, struct kwb_store_call *call)
 {
-	if (call->driver != NULL)
+	if (call->pending != NULL)
 		store->ops->cancel(store, call);
 }
 
@@ -24,7 +24,7 @@
 }
 
 bool
-kwb_store_is_answer(const struct kwb_store_answer *answer)
+kwb_store_has_answered(const struct kwb_store_answer *answer)
 {
 	return answer->error != KWB_ERR_STORE_REFUSED &&
 	    answer->error != KWB_ERR_STORE_UNKNOWN;
@@ -41,33 +41,33 @@
 }
 
 void
-kwb_store_note(struct kwb_store *store, const struct kwb_store_answer *answer,
-    bool is_relayed)
+kwb_store_record_answer(struct kwb_store *store,
+    const struct kwb_store_answer *answer, bool is_relayed)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	store->calls_count++;
-	if (!kwb_store_is_answer(answer)) {
-		if (store->failed_ns <= store->answered_ns)
+	if (!kwb_store_has_answered(answer)) {
+		if (store->last_failure_ns <= store->last_answer_ns)
 			kwb_log(KWB_LOG_WARN, "store",
 			    "event=dependency_lost error=%s",
 			    kwb_error_name(answer->error));
-		store->failed_ns = now_ns;
+		store->last_failure_ns = now_ns;
 		return;
 	}
-	if (store->failed_ns > store->answered_ns &&
-	    now_ns - store->answered_ns >= KWB_STORE_AWAY_NS)
-		store->returned_ns = now_ns;
-	if (store->failed_ns > store->answered_ns)
+	if (store->last_failure_ns > store->last_answer_ns &&
+	    now_ns - store->last_answer_ns >= KWB_STORE_AWAY_NS)
+		store->recovered_ns = now_ns;
+	if (store->last_failure_ns > store->last_answer_ns)
 		kwb_log(KWB_LOG_INFO, "store",
 		    "event=dependency_regained after_ms=%llu",
-		    (unsigned long long)((now_ns - store->answered_ns) /
+		    (unsigned long long)((now_ns - store->last_answer_ns) /
 			KWB_MS_NS));
-	store->answered_ns = now_ns;
+	store->last_answer_ns = now_ns;
 	if (is_relayed)
-		store->relay_answered_ns = now_ns;
+		store->relay_answer_ns = now_ns;
 	else
-		store->own_answered_ns = now_ns;
+		store->direct_answer_ns = now_ns;
 	if (answer->now_ms != 0)
 		store->clock_offset_ms = (int64_t)answer->now_ms -
 		    (int64_t)(kwb_boot_now_ns() / KWB_MS_NS);
@@ -76,7 +76,7 @@
 uint64_t
 kwb_store_now_ms(const struct kwb_store *store)
 {
-	if (store->answered_ns == 0)
+	if (store->last_answer_ns == 0)
 		return 0;
 	return (uint64_t)((int64_t)(kwb_boot_now_ns() / KWB_MS_NS) +
 	    store->clock_offset_ms);
--- a/src/trace/report.c
+++ b/src/trace/report.c
@@ -49,7 +49,7 @@
 
 	fprintf(to, "batch %s took %.3f s; decided by item %s\n", trace->batch,
 	    seconds(total_ms(trace)), trace->item);
-	for (kind = 0; kind < KWB_TRACE_KINDS; kind++)
+	for (kind = 0; kind < KWB_TRACE_KIND_COUNT; kind++)
 		if (sum_ms(trace, kind) > 0)
 			fprintf(to, "  %-11s %7.3f s\n",
 			    kwb_trace_kind_name(kind),
--- a/src/trace/trace.c
+++ b/src/trace/trace.c
@@ -53,7 +53,7 @@
 		return "reward";
 	case KWB_TRACE_LISTING:
 		return "listing";
-	case KWB_TRACE_KINDS:
+	case KWB_TRACE_KIND_COUNT:
 		break;
 	}
 	return "-";
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -74,7 +74,7 @@
 		mover_home_write(mover);
 		return;
 	case 412:
-		kwb_store_lease_lose(&mover->lease);
+		kwb_store_lease_mark_lost(&mover->lease);
 		break;
 	default:
 		break;
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -114,43 +114,45 @@
 static void
 test_path(void)
 {
-	const uint64_t quiet = KWB_PATH_QUIET_NS;
+	const uint64_t quiet = KWB_PATH_SILENT_NS;
 	const struct {
 		const char *name;
 		struct kwb_path_input input;
 		enum kwb_path path;
 	} cases[] = {
-	    {"answers", {.own_quiet_ns = quiet - 1}, KWB_PATH_OWN},
-	    {"has not asked", {.own_quiet_ns = quiet}, KWB_PATH_ASK},
+	    {"answers", {.direct_silence_ns = quiet - 1}, KWB_PATH_DIRECT},
+	    {"has not asked", {.direct_silence_ns = quiet}, KWB_PATH_PROBE},
 	    {"has asked just now",
-		{.own_quiet_ns = quiet, .own_asked_ns = KWB_PATH_ASKED_NS - 1},
-		KWB_PATH_ASK},
+		{.direct_silence_ns = quiet,
+		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS - 1},
+		KWB_PATH_PROBE},
 	    {"silent",
-		{.own_quiet_ns = quiet, .own_asked_ns = KWB_PATH_ASKED_NS},
-		KWB_PATH_SEEK},
+		{.direct_silence_ns = quiet,
+		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS},
+		KWB_PATH_SEARCH},
 	    {"a peer answers",
-		{.own_quiet_ns = quiet,
-		    .relay_quiet_ns = quiet - 1,
+		{.direct_silence_ns = quiet,
+		    .relay_silence_ns = quiet - 1,
 		    .is_relayed = true},
 		KWB_PATH_RELAY},
 	    {"answered by a peer before, not in use",
-		{.own_quiet_ns = quiet,
-		    .own_asked_ns = KWB_PATH_ASKED_NS,
-		    .relay_quiet_ns = 0},
-		KWB_PATH_SEEK},
+		{.direct_silence_ns = quiet,
+		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS,
+		    .relay_silence_ns = 0},
+		KWB_PATH_SEARCH},
 	    {"the peer falls silent, too",
-		{.own_quiet_ns = quiet,
-		    .own_asked_ns = KWB_PATH_ASKED_NS,
-		    .relay_quiet_ns = quiet,
+		{.direct_silence_ns = quiet,
+		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS,
+		    .relay_silence_ns = quiet,
 		    .is_relayed = true},
-		KWB_PATH_SEEK},
-	    {"answers again", {.own_quiet_ns = 0, .is_relayed = true},
-		KWB_PATH_OWN},
+		KWB_PATH_SEARCH},
+	    {"answers again", {.direct_silence_ns = 0, .is_relayed = true},
+		KWB_PATH_DIRECT},
 	};
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_path_wanted(&cases[i].input) != cases[i].path)
+		if (kwb_path_choose(&cases[i].input) != cases[i].path)
 			CU_FAIL(cases[i].name);
 }
 
@@ -163,19 +165,21 @@
 		struct kwb_relay_input input;
 		bool accepts;
 	} cases[] = {
-	    {"sound", {.own_quiet_ns = fresh - 1, .pairs_max = 1}, true},
-	    {"cut itself", {.own_quiet_ns = fresh, .pairs_max = 1}, false},
+	    {"sound", {.direct_silence_ns = fresh - 1, .pairs_max = 1}, true},
+	    {"cut itself", {.direct_silence_ns = fresh, .pairs_max = 1}, false},
 	    {"goes through a peer itself",
-		{.own_quiet_ns = 0, .is_relayed = true, .pairs_max = 1}, false},
-	    {"full", {.own_quiet_ns = 0, .pairs = 1, .pairs_max = 1}, false},
+		{.direct_silence_ns = 0, .is_relayed = true, .pairs_max = 1},
+		false},
+	    {"full", {.direct_silence_ns = 0, .pairs = 1, .pairs_max = 1},
+		false},
 	    {"stopping",
-		{.own_quiet_ns = 0, .is_stopping = true, .pairs_max = 1},
+		{.direct_silence_ns = 0, .is_stopping = true, .pairs_max = 1},
 		false},
 	};
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_relay_accepts(&cases[i].input) != cases[i].accepts)
+		if (kwb_relay_can_accept(&cases[i].input) != cases[i].accepts)
 			CU_FAIL(cases[i].name);
 }
 
@@ -196,7 +200,7 @@
 	unsigned n;
 
 	kwb_text_copy(settings.node, sizeof(settings.node), "node-0");
-	own = kwb_peer_place(settings.node);
+	own = kwb_peer_ring_position(settings.node);
 	for (i = 0; i < COUNT(sizes); i++) {
 		memset(&peers, 0, sizeof(peers));
 		peers.settings = &settings;
@@ -207,7 +211,7 @@
 
 			for (n = 1; n < sizes[i]; n++) {
 				snprintf(name, sizeof(name), "node-%u", n);
-				at = kwb_peer_place(name) - own;
+				at = kwb_peer_ring_position(name) - own;
 				if (at > farthest && at < best) {
 					best = at;
 					kwb_text_copy(peers.known[k].node,
@@ -217,7 +221,7 @@
 			farthest = best;
 			peers.known_count++;
 		}
-		fleet = kwb_peers_fleet(&peers);
+		fleet = kwb_peers_estimate_nodes(&peers);
 		CU_ASSERT(fleet * 2 >= sizes[i]);
 		CU_ASSERT(fleet <= sizes[i] * 2);
 	}
@@ -1119,37 +1123,37 @@
 		const char *name;
 		uint64_t expects_revision;
 		const char *expects, *puts, *removes; /* keys; NULL for none */
-		enum kwb_again again;
+		enum kwb_resend_policy again;
 	} writes[] = {
-	    {"new row", 0, "a", "a", NULL, KWB_AGAIN_WRITE},
-	    {"changed row", 7, "a", "a", NULL, KWB_AGAIN_WRITE},
-	    {"removed row", 7, "a", NULL, "a", KWB_AGAIN_WRITE},
-	    {"removed when missing", 0, "a", NULL, "a", KWB_AGAIN_NEVER},
-	    {"condition on another row", 7, "a", "b", "c", KWB_AGAIN_NEVER},
-	    {"without condition", 0, NULL, "a", NULL, KWB_AGAIN_NEVER},
+	    {"new row", 0, "a", "a", NULL, KWB_RESEND_WRITE},
+	    {"changed row", 7, "a", "a", NULL, KWB_RESEND_WRITE},
+	    {"removed row", 7, "a", NULL, "a", KWB_RESEND_WRITE},
+	    {"removed when missing", 0, "a", NULL, "a", KWB_RESEND_NEVER},
+	    {"condition on another row", 7, "a", "b", "c", KWB_RESEND_NEVER},
+	    {"without condition", 0, NULL, "a", NULL, KWB_RESEND_NEVER},
 	};
 	const struct {
 		const char *name;
-		enum kwb_again again;
+		enum kwb_resend_policy again;
 		uint32_t copies, others;
 		int error;
 		bool ends;
 		int told;
 	} ends[] = {
-	    {"one read fails", KWB_AGAIN_READ, 1, 0, KWB_ERR_STORE_UNKNOWN,
+	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_UNKNOWN,
 		true, KWB_ERR_STORE_UNKNOWN},
-	    {"one write conflicts", KWB_AGAIN_WRITE, 1, 0,
+	    {"one write conflicts", KWB_RESEND_WRITE, 1, 0,
 		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_CONFLICT},
-	    {"done", KWB_AGAIN_WRITE, 2, 1, 0, true, 0},
-	    {"a copy conflicts", KWB_AGAIN_WRITE, 2, 1, KWB_ERR_STORE_CONFLICT,
+	    {"done", KWB_RESEND_WRITE, 2, 1, 0, true, 0},
+	    {"a copy conflicts", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_CONFLICT,
 		true, KWB_ERR_STORE_UNKNOWN},
-	    {"a copy is refused", KWB_AGAIN_WRITE, 2, 1, KWB_ERR_STORE_REFUSED,
+	    {"a copy is refused", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_REFUSED,
 		false, KWB_ERR_STORE_REFUSED},
-	    {"the last is refused", KWB_AGAIN_WRITE, 2, 0,
+	    {"the last is refused", KWB_RESEND_WRITE, 2, 0,
 		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_UNKNOWN},
-	    {"nothing to read", KWB_AGAIN_READ, 2, 1, KWB_ERR_STORE_MISSING,
+	    {"nothing to read", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_MISSING,
 		true, KWB_ERR_STORE_MISSING},
-	    {"a read is cut off", KWB_AGAIN_READ, 2, 1, KWB_ERR_STORE_UNKNOWN,
+	    {"a read is cut off", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_UNKNOWN,
 		false, KWB_ERR_STORE_UNKNOWN},
 	};
 	unsigned i;
@@ -1164,24 +1168,27 @@
 			kwb_tx_put(&tx, "t", "p", writes[i].puts, "v", 1);
 		if (writes[i].removes != NULL)
 			kwb_tx_remove(&tx, "t", "p", writes[i].removes);
-		if (kwb_tx_again(&tx) != writes[i].again)
+		if (kwb_tx_resend_policy(&tx) != writes[i].again)
 			CU_FAIL(writes[i].name);
 	}
 	for (i = 0; i < COUNT(ends); i++) {
 		int error = ends[i].error;
 
-		if (kwb_again_ends(ends[i].again, ends[i].copies,
+		if (kwb_resend_ends_call(ends[i].again, ends[i].copies,
 			ends[i].others, &error) != ends[i].ends ||
 		    error != ends[i].told)
 			CU_FAIL(ends[i].name);
 	}
-	CU_ASSERT_FALSE(kwb_again_is_due(KWB_AGAIN_READ, 1, KWB_READ_AGAIN_NS));
-	CU_ASSERT(kwb_again_is_due(KWB_AGAIN_READ, 1, 1 + KWB_READ_AGAIN_NS));
 	CU_ASSERT_FALSE(
-	    kwb_again_is_due(KWB_AGAIN_WRITE, 1, KWB_WRITE_AGAIN_NS));
-	CU_ASSERT(kwb_again_is_due(KWB_AGAIN_WRITE, 1, 1 + KWB_WRITE_AGAIN_NS));
+	    kwb_resend_is_due(KWB_RESEND_READ, 1, KWB_READ_RESEND_NS));
+	CU_ASSERT(
+	    kwb_resend_is_due(KWB_RESEND_READ, 1, 1 + KWB_READ_RESEND_NS));
+	CU_ASSERT_FALSE(
+	    kwb_resend_is_due(KWB_RESEND_WRITE, 1, KWB_WRITE_RESEND_NS));
+	CU_ASSERT(
+	    kwb_resend_is_due(KWB_RESEND_WRITE, 1, 1 + KWB_WRITE_RESEND_NS));
 	CU_ASSERT_FALSE(
-	    kwb_again_is_due(KWB_AGAIN_NEVER, 1, 1 + KWB_WRITE_AGAIN_NS));
+	    kwb_resend_is_due(KWB_RESEND_NEVER, 1, 1 + KWB_WRITE_RESEND_NS));
 }
 
 static void
@@ -1199,7 +1206,7 @@
 static void
 test_again_same_way(void)
 {
-	struct timeval later = {.tv_usec = KWB_READ_AGAIN_NS / 1000 + 50000};
+	struct timeval later = {.tv_usec = KWB_READ_RESEND_NS / 1000 + 50000};
 	struct timeval soon = {.tv_usec = 100000};
 	struct event_base *base = event_base_new();
 	struct kwb_store_call call = {.on_done = ignore_answer};
@@ -1228,7 +1235,7 @@
 	store.store.relay = NULL;
 	event_base_loopexit(base, &later);
 	event_base_dispatch(base);
-	store.store.ops->send_again(&store.store);
+	store.store.ops->resend_overdue(&store.store);
 	event_base_loopexit(base, &soon);
 	event_base_dispatch(base);
 	for (; (fd = accept(silent, NULL, NULL)) >= 0; connections++)
