--- a/src/trace/report.c
+++ b/src/trace/report.c
@@ -1,5 +1,5 @@
 /*
- * An explained step, for people and for programs.
+ * Prints an explained step: as a table for people, as JSON for programs.
  */
 #include <jansson.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 }
 
 static uint64_t
-length_ms(const struct kwb_trace_span *span)
+span_ms(const struct kwb_trace_span *span)
 {
 	return span->end_ms - span->begin_ms;
 }
@@ -28,7 +28,7 @@
 		trace->spans[0].begin_ms;
 }
 
-/* How much of the step was of one kind. */
+/* Total time of the spans of one kind. */
 static uint64_t
 sum_ms(const struct kwb_trace *trace, enum kwb_trace_kind kind)
 {
@@ -37,7 +37,7 @@
 
 	for (i = 0; i < trace->spans_count; i++)
 		if (trace->spans[i].kind == kind)
-			sum += length_ms(&trace->spans[i]);
+			sum += span_ms(&trace->spans[i]);
 	return sum;
 }
 
@@ -64,7 +64,7 @@
 
 		fprintf(to, "%8.3f %8.3f  %-11s %-20s %-20s %6llu  %s\n",
 		    seconds(span->begin_ms - trace->spans[0].begin_ms),
-		    seconds(length_ms(span)), kwb_trace_kind_name(span->kind),
+		    seconds(span_ms(span)), kwb_trace_kind_name(span->kind),
 		    span->node, span->upstream,
 		    (unsigned long long)span->events, span->reason);
 	}
--- a/src/trace/trace.c
+++ b/src/trace/trace.c
@@ -1,7 +1,7 @@
 /*
- * The critical path of a step: the item that the trainer waited for last, from
- * the batch's acceptance to the end of its listing, in spans that follow one
- * another.
+ * The critical path of a training step: what the item that the trainer waited
+ * for last did, from the batch's acceptance to the end of the listing of its
+ * results, in consecutive spans.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,10 +9,10 @@
 
 #include "kwb_trace.h"
 
-#define ROOM_LEAST 256
+#define INITIAL_CAPACITY 256
 #define MODULE_ITEM "item: time_ms="
 #define MODULE_NODE "node: time_ms="
-#define EVENT_RESTARTED "restarted" /* our name for a node's start */
+#define EVENT_RESTARTED "restarted" /* for a node's start */
 #define EVENT_LOST "dependency_lost"
 #define EVENT_REGAINED "dependency_regained"
 
@@ -59,55 +59,55 @@
 	return "-";
 }
 
-/* ---- Lines ----------------------------------------------------------------
- */
+/* ---- Lines --------------------------------------------------------------- */
 
-/* Makes room for one item more. */
+/* Makes room for one more element. */
 static int
-grow(void **items, uint32_t count, uint32_t *room, size_t item_bytes)
+grow(void **items, uint32_t count, uint32_t *capacity, size_t item_bytes)
 {
-	uint32_t wanted = *room == 0 ? ROOM_LEAST : 2 * *room;
+	uint32_t new_capacity =
+	    *capacity == 0 ? INITIAL_CAPACITY : 2 * *capacity;
 	void *grown;
 
-	if (count < *room)
+	if (count < *capacity)
 		return 0;
-	grown = realloc(*items, wanted * item_bytes);
+	grown = realloc(*items, new_capacity * item_bytes);
 	if (grown == NULL)
 		return KWB_ERR_MEMORY;
 	*items = grown;
-	*room = wanted;
+	*capacity = new_capacity;
 	return 0;
 }
 
-/* The value of " name=" up to the next space; "" for none. */
+/* Copies the value after key, such as " batch="; "" when it is missing. */
 static void
-field(const char *line, const char *name, char *value, size_t room_bytes)
+field_read(const char *line, const char *key, char *value, size_t value_bytes)
 {
-	const char *found = strstr(line, name);
+	const char *found = strstr(line, key);
 	size_t length;
 
 	value[0] = '\0';
 	if (found == NULL)
 		return;
-	found += strlen(name);
+	found += strlen(key);
 	length = strcspn(found, " \r\n");
-	if (length >= room_bytes)
-		length = room_bytes - 1;
+	if (length >= value_bytes)
+		length = value_bytes - 1;
 	memcpy(value, found, length);
 	value[length] = '\0';
 }
 
 static uint64_t
-number(const char *line, const char *name)
+field_number(const char *line, const char *key)
 {
 	char text[32];
 
-	field(line, name, text, sizeof(text));
+	field_read(line, key, text, sizeof(text));
 	return strtoull(text, NULL, 10);
 }
 
 static bool
-is_of_store(const char *name)
+is_store_event(const char *name)
 {
 	return strcmp(name, EVENT_LOST) == 0 ||
 	    strcmp(name, EVENT_REGAINED) == 0;
@@ -127,36 +127,36 @@
 	char name[KWB_TRACE_NAME_BYTES];
 	int code;
 
-	field(line, " event=", name, sizeof(name));
-	field(line, " batch=", batch, sizeof(batch));
+	field_read(line, " event=", name, sizeof(name));
+	field_read(line, " batch=", batch, sizeof(batch));
 	if (name[0] == '\0' ||
-	    (strcmp(batch, trace->batch) != 0 && !is_of_store(name) &&
+	    (strcmp(batch, trace->batch) != 0 && !is_store_event(name) &&
 		!is_node_start(line, name)))
 		return 0;
 	code = grow((void **)&trace->events, trace->events_count,
-	    &trace->events_room, sizeof(trace->events[0]));
+	    &trace->events_capacity, sizeof(trace->events[0]));
 	if (code != 0)
 		return code;
 	event = &trace->events[trace->events_count];
 	memset(event, 0, sizeof(*event));
-	event->time_ms = number(line, " time_ms=");
-	event->order = trace->events_count++;
-	event->events = number(line, " events=");
-	event->targets = number(line, " target_groups=");
+	event->time_ms = field_number(line, " time_ms=");
+	event->sequence = trace->events_count++;
+	event->events = field_number(line, " events=");
+	event->target_groups = field_number(line, " target_groups=");
 	kwb_text_copy(event->name, sizeof(event->name),
 	    is_node_start(line, name) ? EVENT_RESTARTED : name);
-	field(line, " process=", event->node, sizeof(event->node));
+	field_read(line, " process=", event->node, sizeof(event->node));
 	if (strstr(line, MODULE_ITEM) != NULL) {
-		field(line, " id=", event->item, sizeof(event->item));
-		field(line, " group=", event->group, sizeof(event->group));
+		field_read(line, " id=", event->item, sizeof(event->item));
+		field_read(line, " group=", event->group, sizeof(event->group));
 	}
-	field(line, " upstream=", event->upstream, sizeof(event->upstream));
-	field(line, " reason=", event->reason, sizeof(event->reason));
+	field_read(
+	    line, " upstream=", event->upstream, sizeof(event->upstream));
+	field_read(line, " reason=", event->reason, sizeof(event->reason));
 	return 0;
 }
 
-/* ---- Spans ----------------------------------------------------------------
- */
+/* ---- Spans --------------------------------------------------------------- */
 
 static int
 compare_events(const void *left, const void *right)
@@ -166,7 +166,9 @@
 
 	if (one->time_ms != other->time_ms)
 		return one->time_ms < other->time_ms ? -1 : 1;
-	return one->order < other->order ? -1 : one->order > other->order;
+	return one->sequence < other->sequence
+	    ? -1
+	    : one->sequence > other->sequence;
 }
 
 static bool
@@ -175,12 +177,12 @@
 	return strcmp(event->name, name) == 0;
 }
 
-/* What the walk over the events knows; the next span begins at begin_ms. */
+/* State while going through the events; the next span begins at begin_ms. */
 struct walk {
 	struct kwb_trace *trace;
 	enum kwb_trace_kind kind;
 	uint64_t begin_ms;
-	uint64_t events; /* at begin_ms */
+	uint64_t events; /* of the text, at begin_ms */
 	const char *node;
 	const char *upstream;
 };
@@ -194,7 +196,7 @@
 
 	if (event->time_ms > walk->begin_ms) {
 		code = grow((void **)&trace->spans, trace->spans_count,
-		    &trace->spans_room, sizeof(trace->spans[0]));
+		    &trace->spans_capacity, sizeof(trace->spans[0]));
 		if (code != 0)
 			return code;
 		trace->spans[trace->spans_count++] =
@@ -216,29 +218,31 @@
 	return 0;
 }
 
-/* An owner that is gone didn't log how far the text was; the next start does.
+/*
+ * An owner that is gone did not log how far the text was; the item's next start
+ * does, and so completes the last running span.
  */
 static void
-note_events(struct walk *walk, uint64_t events)
+fill_in_events(struct walk *walk, uint64_t events)
 {
 	struct kwb_trace *trace = walk->trace;
 	uint32_t i = trace->spans_count;
 
-	while (trace->is_cut && i-- > 0)
+	while (trace->events_missing && i-- > 0)
 		if (trace->spans[i].kind == KWB_TRACE_RUNNING) {
 			trace->spans[i].events =
 			    events > walk->events ? events - walk->events : 0;
-			trace->is_cut = false;
+			trace->events_missing = false;
 		}
 }
 
-/* The owner of a running item is another, or another life of the same node. */
+/* Ends a span because the batch has another owner, or its owner restarted. */
 static int
-cut(struct walk *walk, const struct kwb_trace_event *event, const char *reason,
-    enum kwb_trace_kind next)
+owner_change(struct walk *walk, const struct kwb_trace_event *event,
+    const char *reason, enum kwb_trace_kind next)
 {
 	if (walk->kind == KWB_TRACE_RUNNING)
-		walk->trace->is_cut = true;
+		walk->trace->events_missing = true;
 	return span_end(walk, event, reason, next);
 }
 
@@ -250,7 +254,7 @@
 
 	if (is_named(event, "start")) {
 		code = span_end(walk, event, reason, KWB_TRACE_RUNNING);
-		note_events(walk, event->events);
+		fill_in_events(walk, event->events);
 		walk->events = event->events;
 		walk->upstream = event->upstream;
 		return code;
@@ -264,26 +268,32 @@
 	return 0;
 }
 
-/* A hand-over ends what the item did; the claim tells when it was noticed. */
+/*
+ * A new owner ends the item's span. If the old one has not released the batch,
+ * the time of the claim counts.
+ */
 static int
 walk_batch(struct walk *walk, const struct kwb_trace_event *event)
 {
 	bool is_owner = strcmp(event->node, walk->node) == 0;
 
 	if (is_named(event, "released"))
-		return cut(walk, event, "released", KWB_TRACE_OWNER_GONE);
+		return owner_change(
+		    walk, event, "released", KWB_TRACE_OWNER_GONE);
 	if (is_named(event, "claimed") && !is_owner)
-		return cut(walk, event, "claimed", KWB_TRACE_TAKE_OVER);
+		return owner_change(
+		    walk, event, "claimed", KWB_TRACE_TAKE_OVER);
 	if (is_named(event, EVENT_RESTARTED) && is_owner)
-		return cut(walk, event, "owner_restarted", KWB_TRACE_TAKE_OVER);
+		return owner_change(
+		    walk, event, "owner_restarted", KWB_TRACE_TAKE_OVER);
 	if (is_named(event, "loaded"))
-		return cut(walk, event, "loaded", KWB_TRACE_WAITING);
+		return owner_change(walk, event, "loaded", KWB_TRACE_WAITING);
 	return 0;
 }
 
-/* How long the owner of a span was without the store. */
+/* How long the owner of a span could not reach the store during it. */
 static uint64_t
-away_ms(const struct kwb_trace *trace, const struct kwb_trace_span *span)
+span_away_ms(const struct kwb_trace *trace, const struct kwb_trace_span *span)
 {
 	uint64_t lost_ms = 0;
 	uint64_t sum_ms = 0;
@@ -292,7 +302,7 @@
 	for (i = 0; i < trace->events_count; i++) {
 		const struct kwb_trace_event *event = &trace->events[i];
 
-		if (!is_of_store(event->name) ||
+		if (!is_store_event(event->name) ||
 		    strcmp(event->node, span->node) != 0)
 			continue;
 		if (is_named(event, EVENT_LOST)) {
@@ -312,14 +322,14 @@
 }
 
 static bool
-is_ready(const struct kwb_trace_event *event)
+is_item_end(const struct kwb_trace_event *event)
 {
 	return is_named(event, "completed") || is_named(event, "errored");
 }
 
-/* True when no item of the event's group becomes ready after it. */
+/* Whether no other item of the event's group ends after it. */
 static bool
-is_group_whole(
+is_last_of_group(
     const struct kwb_trace *trace, const struct kwb_trace_event *event)
 {
 	const struct kwb_trace_event *end = trace->events + trace->events_count;
@@ -327,25 +337,26 @@
 	const struct kwb_trace_event *later;
 
 	for (later = event + 1; later < end; later++)
-		if (is_ready(later) && strcmp(later->group, event->group) == 0)
+		if (is_item_end(later) &&
+		    strcmp(later->group, event->group) == 0)
 			return false;
 	return true;
 }
 
-/* The item that makes the last group whole for which the trainer waits. */
+/* The item that completes the last group that the trainer waits for. */
 static const char *
-deciding_item(const struct kwb_trace *trace, uint64_t targets)
+deciding_item(const struct kwb_trace *trace, uint64_t target_groups)
 {
 	const char *item = NULL;
-	uint64_t whole = 0;
+	uint64_t groups_complete = 0;
 	uint32_t i;
 
 	for (i = 0; i < trace->events_count; i++) {
-		if (!is_ready(&trace->events[i]))
+		if (!is_item_end(&trace->events[i]))
 			continue;
 		item = trace->events[i].item;
-		whole += is_group_whole(trace, &trace->events[i]);
-		if (whole == targets && targets > 0)
+		groups_complete += is_last_of_group(trace, &trace->events[i]);
+		if (groups_complete == target_groups && target_groups > 0)
 			break;
 	}
 	return item;
@@ -362,9 +373,9 @@
 	return NULL;
 }
 
-/* All is listed, or the trainer has read on or ended the batch. */
+/* All results are listed, a caller has got an answer, or the batch ended. */
 static bool
-ends_listing(const struct kwb_trace_event *event)
+is_listing_end(const struct kwb_trace_event *event)
 {
 	return is_named(event, "all_listed") || is_named(event, "answered") ||
 	    is_named(event, "ended");
@@ -374,7 +385,7 @@
 kwb_trace_explain(struct kwb_trace *trace)
 {
 	const struct kwb_trace_event *taken;
-	const char *last;
+	const char *item;
 	struct walk walk = {.trace = trace,
 	    .kind = KWB_TRACE_WAITING,
 	    .node = "-",
@@ -388,19 +399,21 @@
 	taken = first_named(trace, "taken");
 	if (taken == NULL)
 		return KWB_ERR_STORE_MISSING;
-	last = trace->item[0] != '\0' ? trace->item
-				      : deciding_item(trace, taken->targets);
-	if (last == NULL)
+	item = trace->item[0] != '\0'
+	    ? trace->item
+	    : deciding_item(trace, taken->target_groups);
+	if (item == NULL)
 		return KWB_ERR_STORE_MISSING;
-	kwb_text_copy(trace->item, sizeof(trace->item), last);
+	kwb_text_copy(trace->item, sizeof(trace->item), item);
 	walk.begin_ms = taken->time_ms;
 	walk.node = taken->node;
 	for (i = 0; i < trace->events_count && code == 0; i++) {
 		const struct kwb_trace_event *event = &trace->events[i];
 
-		if (event->time_ms < taken->time_ms || is_of_store(event->name))
+		if (event->time_ms < taken->time_ms ||
+		    is_store_event(event->name))
 			continue;
-		if (walk.kind == KWB_TRACE_LISTING && ends_listing(event)) {
+		if (walk.kind == KWB_TRACE_LISTING && is_listing_end(event)) {
 			code = span_end(
 			    &walk, event, event->name, KWB_TRACE_LISTING);
 			break;
@@ -411,6 +424,6 @@
 			code = walk_batch(&walk, event);
 	}
 	for (i = 0; i < trace->spans_count; i++)
-		trace->store_away_ms += away_ms(trace, &trace->spans[i]);
+		trace->store_away_ms += span_away_ms(trace, &trace->spans[i]);
 	return code;
 }
