--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -51,34 +51,41 @@
 #define KWB_EXCHANGE_CHECK_NS (250 * KWB_MS_NS) /* between looks at silence */
 
 /* Store of the platform */
-#define KWB_FEED_WAIT_MS 1500 /* a silent feed is noticed before 3 s */
+#define KWB_FEED_WAIT_MS 1500 /* a silent feed is noticed within 3 s */
 #define KWB_STORE_RETRY_NS (150 * KWB_MS_NS)	/* after a failed call */
-#define KWB_STORE_WATCHDOG_NS (250 * KWB_MS_NS) /* between looks */
-#define KWB_STORE_SILENT_NS (750 * KWB_MS_NS)	/* a node calls each 500 ms */
-#define KWB_PROBE_TIMEOUT_NS (1000 * KWB_MS_NS) /* while others are answered   \
-						 */
-#define KWB_GIVE_UP_DELAY_NS (100 * KWB_MS_NS)	/* after an answer to a probe  \
-						 */
-#define KWB_READ_RESEND_NS (500 * KWB_MS_NS)   /* a busy store reads in 0.2 s */
-#define KWB_WRITE_RESEND_NS (1250 * KWB_MS_NS) /* they queue for 1 s */
+#define KWB_STORE_WATCHDOG_NS (250 * KWB_MS_NS) /* between its checks */
+/* Without an answer the store counts as silent; a node calls every 500 ms. */
+#define KWB_STORE_SILENT_NS (750 * KWB_MS_NS)
+/* Of a probe, while other calls are answered. */
+#define KWB_PROBE_TIMEOUT_NS (1000 * KWB_MS_NS)
+/* After an answer to a probe, until calls older than the probe are ended. */
+#define KWB_GIVE_UP_DELAY_NS (100 * KWB_MS_NS)
+/* Until another copy of a call is sent. */
+#define KWB_READ_RESEND_NS (500 * KWB_MS_NS)   /* a busy store takes 0.2 s */
+#define KWB_WRITE_RESEND_NS (1250 * KWB_MS_NS) /* writes queue for 1 s */
 
 /* Peers: a way round a cut path to the store */
-#define KWB_PATH_CHECK_NS (125 * KWB_MS_NS)	 /* between looks at the path */
-#define KWB_PATH_SILENT_NS (400 * KWB_MS_NS)	 /* then the store is asked */
-#define KWB_PATH_UNANSWERED_NS (150 * KWB_MS_NS) /* it answers in 4 ms */
-#define KWB_PATH_PROBE_TIMEOUT_NS                                              \
-	(400 * KWB_MS_NS)		     /* a slow store answers in it */
-#define KWB_PATH_PARALLEL_PROBES 2	     /* peers asked at a time */
-#define KWB_PATH_SEARCH_PEERS 6		     /* peers asked in one look */
+#define KWB_PATH_CHECK_NS (125 * KWB_MS_NS) /* between checks of the path */
+/* A path without an answer for this long counts as silent. */
+#define KWB_PATH_SILENT_NS (400 * KWB_MS_NS)
+/* A probe unanswered for this long means a cut path; usual are 4 ms. */
+#define KWB_PATH_UNANSWERED_NS (150 * KWB_MS_NS)
+/* A probe is replaced after this; a slow store answers sooner. */
+#define KWB_PATH_PROBE_TIMEOUT_NS (400 * KWB_MS_NS)
+#define KWB_PATH_PARALLEL_PROBES 2	     /* peers probed at a time */
+#define KWB_PATH_SEARCH_PEERS 6		     /* peers probed in one search */
 #define KWB_STORE_PEERS_MAX 16		     /* peers known to a node */
 #define KWB_PEERS_RETRY_NS (500 * KWB_MS_NS) /* after a failed call */
-#define KWB_PEERS_FIRST_REFRESH_NS                                             \
-	(4000 * KWB_MS_NS)			 /* machines start together */
-#define KWB_PEERS_REFRESH_NS (60000 * KWB_MS_NS) /* between reads of rows */
-#define KWB_PEER_EXPIRY_MS 600000		 /* a row not written since */
-#define KWB_RELAY_FRESH_NS (1000 * KWB_MS_NS)	 /* own path answered since */
+/* Second write and read: nodes that start together had no rows before. */
+#define KWB_PEERS_FIRST_REFRESH_NS (4000 * KWB_MS_NS)
+/* Between later writes of the own row and reads of others. */
+#define KWB_PEERS_REFRESH_NS (60000 * KWB_MS_NS)
+/* The row of a node that has not written it for so long is removed. */
+#define KWB_PEER_EXPIRY_MS 600000
+/* A node relays only if the store has answered it within this time. */
+#define KWB_RELAY_FRESH_NS (1000 * KWB_MS_NS)
 #define KWB_RELAY_PAIRS_MAX 128	     /* 10 connections of each of 12 peers */
-#define KWB_RELAY_BUFFER_BYTES 65536 /* of a connection, each way */
+#define KWB_RELAY_BUFFER_BYTES 65536 /* of a connection, in each direction */
 #define KWB_RELAY_IDLE_S 5	     /* longer than a feed waits */
 
 /* Upstreams of the shared platform */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -243,34 +243,42 @@
 
 /* ---- Store: rows, transactions, feeds, objects --------------------------- */
 
+/*
+ * The shared store in which nodes keep what must outlive them: tables of rows,
+ * changed by transactions with conditions, and objects (named blobs). A feed
+ * reports the changes of a table. Calls are asynchronous: each function of
+ * kwb_store_ops returns 0 or a negative KWB_ERR_ number, and after a 0
+ * call->on_done is called once, unless the call is cancelled before.
+ */
 struct kwb_row {
 	char *table;
-	char *part;
+	char *part; /* partition of the table; "" for the default one */
 	char *key;
 	char *value;
 	size_t value_bytes;
-	uint64_t revision; /* 0 when the row does not exist */
-	bool deleted;
+	uint64_t revision; /* of the last change; 0: the row does not exist */
+	bool deleted;	   /* the row has been removed */
 };
 
 struct kwb_store_answer {
-	int error; /* KWB_ERR_STORE_... */
+	int error; /* 0 or KWB_ERR_STORE_... */
 	struct kwb_row *rows;
 	uint32_t rows_count;
-	bool more;	   /* a range read has more rows */
-	uint64_t revision; /* newest of the store */
-	uint64_t now_ms;   /* the store's steady clock */
-	struct kwb_buf object;
+	bool more;	       /* the range has more rows than these */
+	uint64_t revision;     /* newest of the store */
+	uint64_t now_ms;       /* the store's steady clock; 0 when not given */
+	struct kwb_buf object; /* content, for object_get */
 };
 
+/* A call of the store; its memory is the caller's. */
 struct kwb_store_call {
 	void (*on_done)(
 	    struct kwb_store_call *call, const struct kwb_store_answer *answer);
 	void *context;
-	void *pending; /* the implementation's; NULL when not in progress */
+	void *pending; /* the implementation's request; NULL when none runs */
 };
 
-#define KWB_TX_ROWS_MAX 100
+#define KWB_TX_ROWS_MAX 100 /* of each kind in one transaction */
 
 struct kwb_tx_row {
 	const char *table;
@@ -278,9 +286,10 @@
 	const char *key;
 	const char *value;
 	size_t value_bytes;
-	uint64_t revision; /* expected; 0 for a row that does not exist */
+	uint64_t revision; /* expected; 0: the row must not exist */
 };
 
+/* Writes and removes rows, all or none, if all expected revisions hold. */
 struct kwb_tx {
 	struct kwb_tx_row expect[KWB_TX_ROWS_MAX];
 	uint32_t expect_count;
@@ -290,6 +299,7 @@
 	uint32_t remove_count;
 };
 
+/* Rows of one partition, in byte order of their keys. */
 struct kwb_range {
 	const char *table;
 	const char *part;
@@ -300,109 +310,141 @@
 
 struct kwb_store;
 
+/* What an implementation of the store provides. */
 struct kwb_store_ops {
+	/* Answers KWB_ERR_STORE_CONFLICT when a revision is not as expected. */
 	int (*transact)(struct kwb_store *store, const struct kwb_tx *tx,
 	    struct kwb_store_call *call);
+	/* Reads rows; answer->more tells when a page does not hold all. */
 	int (*range)(struct kwb_store *store, const struct kwb_range *range,
 	    struct kwb_store_call *call);
+	/*
+	 * Waits up to wait_ms for changes of a table after a revision. Answers
+	 * KWB_ERR_STORE_HISTORY when the store does not keep that history.
+	 */
 	int (*feed)(struct kwb_store *store, const char *table, uint64_t after,
 	    uint32_t wait_ms, struct kwb_store_call *call);
+	/* Writes an object under a new name; an existing one stays as it is. */
 	int (*object_put)(struct kwb_store *store, const char *name,
 	    const void *data, size_t length_bytes, struct kwb_store_call *call);
 	int (*object_get)(struct kwb_store *store, const char *name,
 	    struct kwb_store_call *call);
 	int (*object_drop)(struct kwb_store *store, const char *name,
 	    struct kwb_store_call *call);
+	/* Ends a call in progress without calling on_done. */
 	void (*cancel)(struct kwb_store *store, struct kwb_store_call *call);
-	/* Ends calls begun before then as unknown; their number. */
+	/*
+	 * Ends calls begun before then with KWB_ERR_STORE_UNKNOWN; returns
+	 * their number.
+	 */
 	uint32_t (*give_up)(struct kwb_store *store, uint64_t before_ns);
-	/* Sends again what waits too long; kwb_resend_is_due() says what. */
+	/* Sends a second copy of each call that kwb_resend_is_due() names. */
 	void (*resend_overdue)(struct kwb_store *store);
 };
 
+/* A node's client of the store. Times are of kwb_clock_now_ns(), 0: never. */
 struct kwb_store {
 	const struct kwb_store_ops *ops;
-	/* Calls go through it, a peer that passes them on; NULL for none. */
+	/* Relay of a peer that calls go through; NULL: the direct path. */
 	const struct kwb_address *relay;
-	uint64_t last_answer_ns;   /* last answer, kwb_clock_now_ns() */
-	uint64_t direct_answer_ns; /* likewise, without a peer */
-	uint64_t relay_answer_ns;  /* likewise, through a peer */
-	uint64_t last_failure_ns;  /* last call refused or without answer */
-	uint64_t recovered_ns;	   /* first answer after it was away */
-	int64_t clock_offset_ms;   /* store's clock less kwb_boot_now_ns() */
-	uint64_t calls_count;
-};
-
-#define KWB_STORE_VALUE_MAX_BYTES 60000
-
-void kwb_store_cancel(
-    struct kwb_store *store, struct kwb_store_call *call); /* no callback */
-int kwb_store_probe(struct kwb_store *store,
-    struct kwb_store_call *call); /* a small read, to see if it answers */
-bool kwb_store_has_answered(
-    const struct kwb_store_answer *answer); /* of the store, not a failure */
-void kwb_store_give_up(struct kwb_store *store,
-    uint64_t before_ns); /* ends calls begun before then as unknown */
+	uint64_t last_answer_ns;   /* last answer, on any path */
+	uint64_t direct_answer_ns; /* last answer without a peer */
+	uint64_t relay_answer_ns;  /* last answer through a peer */
+	uint64_t last_failure_ns;  /* last call refused or unanswered */
+	uint64_t recovered_ns;	   /* first answer after an outage */
+	int64_t clock_offset_ms;   /* store's clock minus kwb_boot_now_ns() */
+	uint64_t calls_count;	   /* ended calls, answered or not */
+};
+
+#define KWB_STORE_VALUE_MAX_BYTES 60000 /* of a row's value */
+
+/* Ends a call without its callback; does nothing when none is in progress. */
+void kwb_store_cancel(struct kwb_store *store, struct kwb_store_call *call);
+/* Starts a small read that shows whether the store answers. */
+int kwb_store_probe(struct kwb_store *store, struct kwb_store_call *call);
+/* False when the call was refused or its outcome is unknown. */
+bool kwb_store_has_answered(const struct kwb_store_answer *answer);
+/* Ends calls begun before before_ns with KWB_ERR_STORE_UNKNOWN. */
+void kwb_store_give_up(struct kwb_store *store, uint64_t before_ns);
+/*
+ * Notes an ended call: when the store answered, on which path, and its clock.
+ * For implementations of the store.
+ */
 void kwb_store_record_answer(struct kwb_store *store,
-    const struct kwb_store_answer *answer,
-    bool is_relayed); /* for implementations */
-uint64_t kwb_store_now_ms(
-    const struct kwb_store *store); /* the store's clock, 0 when unknown */
+    const struct kwb_store_answer *answer, bool is_relayed);
+/* The store's clock in milliseconds; 0 before the first answer. */
+uint64_t kwb_store_now_ms(const struct kwb_store *store);
+/* Adds a condition: the row is at this revision, or missing for 0. */
 void kwb_tx_expect(struct kwb_tx *tx, const char *table, const char *part,
-    const char *key, uint64_t revision); /* adds a condition */
+    const char *key, uint64_t revision);
+/* Adds a row to write; the strings must live until the call is started. */
 void kwb_tx_put(struct kwb_tx *tx, const char *table, const char *part,
-    const char *key, const char *value,
-    size_t value_bytes); /* adds a row to write */
-void kwb_tx_remove(struct kwb_tx *tx, const char *table, const char *part,
-    const char *key); /* adds a row to remove */
+    const char *key, const char *value, size_t value_bytes);
+/* Adds a row to remove. */
+void kwb_tx_remove(
+    struct kwb_tx *tx, const char *table, const char *part, const char *key);
 
 /*
- * Second copies of calls, for connections or parts of the store that fall
- * silent while others are answered.
+ * Second copies of calls that stay unanswered while others are answered, as
+ * happens when a connection or a partition of the store is silent.
  */
 enum kwb_resend_policy {
-	KWB_RESEND_NEVER,
-	KWB_RESEND_READ, /* changes nothing */
-	KWB_RESEND_WRITE /* comes into force once, however often it is sent */
+	KWB_RESEND_NEVER, /* a copy could take effect, too, or is of no use */
+	KWB_RESEND_READ,  /* changes nothing */
+	KWB_RESEND_WRITE  /* takes effect at most once */
 };
 
-enum kwb_resend_policy kwb_tx_resend_policy(
-    const struct kwb_tx *tx); /* a write if its first condition ends with it */
-bool kwb_resend_is_due(enum kwb_resend_policy again, uint64_t sent_ns,
-    uint64_t now_ns); /* of last copy */
+/*
+ * KWB_RESEND_WRITE if the transaction changes the row of its first condition,
+ * so that a second copy conflicts, else KWB_RESEND_NEVER.
+ */
+enum kwb_resend_policy kwb_tx_resend_policy(const struct kwb_tx *tx);
+/* Whether to send another copy; sent_ns: when the last one was sent. */
+bool kwb_resend_is_due(
+    enum kwb_resend_policy policy, uint64_t sent_ns, uint64_t now_ns);
 
 /*
- * Whether an answer to one copy ends the call. error: 0 or KWB_ERR_STORE_*;
- * changed to what the caller is told. others: copies still without answer.
+ * Whether the answer to one copy ends the call. error: in, 0 or KWB_ERR_STORE_*
+ * of that copy; out, what the caller is told. open_copies: others, unanswered.
  */
-bool kwb_resend_ends_call(
-    enum kwb_resend_policy again, uint32_t copies, uint32_t others, int *error);
+bool kwb_resend_ends_call(enum kwb_resend_policy policy, uint32_t copies,
+    uint32_t open_copies, int *error);
 
-/* Notices a silent store's return and gives up what it will not answer. */
+/*
+ * Watchdog for a store that is silent: notices when it answers again, and ends
+ * calls from before that it will not answer.
+ */
 struct kwb_store_watchdog {
 	struct kwb_store *store;
 	struct kwb_store_call probe;
 	struct event *timer;
-	uint64_t probe_ns; /* when it was sent */
-	uint64_t back_ns;  /* when the first answered one was; 0: all is done */
-	bool silent;
+	uint64_t probe_sent_ns;
+	/* Calls begun before it are to be given up; 0 for none. */
+	uint64_t give_up_before_ns;
+	bool silent; /* no answer for KWB_STORE_SILENT_NS */
 };
 
-int kwb_store_watchdog_init(struct kwb_store_watchdog *watch,
-    struct event_base *base, struct kwb_store *store); /* begins to watch */
-void kwb_store_watchdog_finish(struct kwb_store_watchdog *watch); /* ends it */
+/* Starts periodic checks on the loop; returns KWB_ERR_MEMORY on failure. */
+int kwb_store_watchdog_init(struct kwb_store_watchdog *watchdog,
+    struct event_base *base, struct kwb_store *store);
+/* Stops the checks. */
+void kwb_store_watchdog_finish(struct kwb_store_watchdog *watchdog);
 
-/* Keeps in step with one table's part "", through read and feed. */
+/* A row that a follower has reported and that still exists. */
 struct kwb_follower_row {
 	char *key;
-	uint32_t at; /* among the follower's rows */
+	uint32_t row_index; /* in the follower's rows */
 	uint64_t revision;
-	bool seen;
+	bool seen; /* by the whole read in progress */
 };
 
+/*
+ * Follows the default partition of a table: reads all rows, then waits for
+ * changes, and reports each new, changed or deleted row.
+ */
 struct kwb_follower {
 	void (*on_row)(void *context, const struct kwb_row *row);
-	void (*on_synced)(void *context); /* after each whole read; or NULL */
+	void (*on_synced)(void *context); /* after each whole read, or NULL */
 	void *context;
 	struct kwb_store *store;
 	const char *table;
@@ -411,58 +453,67 @@
 	struct kwb_follower_row **rows;
 	struct kwb_index index; /* of rows by key */
 	uint32_t rows_count;
-	uint32_t rows_room;
-	char *from; /* next key of a whole read in progress */
-	uint64_t revision;
-	uint64_t read_revision; /* of the first page of a whole read */
-	uint64_t fresh_ns;	/* begin of the newest answered call */
-	uint64_t started_ns;
-	uint32_t failures;
-	bool synced; /* a whole read has been done once */
-	bool reading;
-};
-
+	uint32_t rows_capacity;
+	char *next_key;	   /* first of the next page; NULL for the first page */
+	uint64_t revision; /* up to which changes are known */
+	uint64_t read_revision; /* at the first page of a whole read */
+	uint64_t answered_ns;	/* when the last call was answered */
+	uint64_t started_ns;	/* start of the last call */
+	uint32_t failures;	/* in a row */
+	bool synced;		/* a whole read has been completed */
+	bool reading;		/* a whole read is in progress */
+};
+
+/* Starts to read the table; returns KWB_ERR_MEMORY on failure. */
 int kwb_follower_init(struct kwb_follower *follower, struct event_base *base,
     struct kwb_store *store, const char *table,
     void (*on_row)(void *context, const struct kwb_row *row),
-    void (*on_synced)(void *context), void *context);	 /* begins */
-void kwb_follower_finish(struct kwb_follower *follower); /* ends it */
-bool kwb_follower_is_current(const struct kwb_follower *follower,
-    uint64_t age_ns); /* synced, and answered within that age */
+    void (*on_synced)(void *context), void *context);
+/* Stops following and frees the rows. */
+void kwb_follower_finish(struct kwb_follower *follower);
+/* Whether a whole read is done and a call was answered in the last age_ns. */
+bool kwb_follower_is_current(
+    const struct kwb_follower *follower, uint64_t age_ns);
 
-/* A lease row with a fencing token; one holder among all nodes. */
+/*
+ * A lease for a job that one node at a time does. Each time it changes hands
+ * its fencing token grows, so that receivers can refuse late orders of an
+ * earlier holder.
+ */
 struct kwb_store_lease {
 	struct kwb_store *store;
 	struct kwb_store_call call;
 	struct event *timer;
-	const char *name;
-	const char *holder;
-	void (*on_change)(void *context); /* held or lost */
+	const char *name;		  /* of the lease; key of its row */
+	const char *holder;		  /* this node's name */
+	void (*on_change)(void *context); /* acquired or lost */
 	void *context;
 	uint64_t lease_ns;     /* length of one term */
-	bool fenced;	       /* what is ordered checks fencing tokens */
-	uint64_t row_revision; /* as last read */
+	bool fenced;	       /* receivers of orders check the token */
+	uint64_t row_revision; /* as last read or written */
 	uint64_t row_seen_ns;  /* boot time when that revision was first read */
-	uint64_t read_ns;      /* boot time of the last successful read */
-	uint64_t fence;	       /* of our term; 0 when not held */
-	uint64_t row_fence;
-	uint64_t held_until_ns; /* boot time; orders only before this */
+	uint64_t read_ns;      /* unused */
+	uint64_t fence;	       /* the own token; 0 when not held */
+	uint64_t row_fence;    /* token in the row */
+	uint64_t held_until_ns; /* boot time; no orders from then on */
 	uint64_t started_ns;	/* boot time of the call in progress */
-	bool writing;
-	bool released;
+	bool writing;		/* the call in progress is a write */
+	bool released;		/* given up for good */
 };
 
+/* Starts to try for the lease; returns KWB_ERR_MEMORY on failure. */
 int kwb_store_lease_init(struct kwb_store_lease *lease, struct event_base *base,
     struct kwb_store *store, const char *name, const char *holder,
     uint64_t lease_ns, bool fenced, void (*on_change)(void *context),
-    void *context);					    /* begins to try */
-void kwb_store_lease_finish(struct kwb_store_lease *lease); /* stops trying */
-uint64_t kwb_store_lease_fence(
-    const struct kwb_store_lease *lease); /* token while held, else 0 */
-void kwb_store_lease_mark_lost(
-    struct kwb_store_lease *lease); /* a higher token was seen */
-void kwb_store_lease_step_down(
-    struct kwb_store_lease *lease); /* gives it up for good */
+    void *context);
+/* Stops trying, without releasing the lease. */
+void kwb_store_lease_finish(struct kwb_store_lease *lease);
+/* The fencing token while the lease is held, else 0. */
+uint64_t kwb_store_lease_fence(const struct kwb_store_lease *lease);
+/* The lease is lost: a receiver of orders has seen a higher token. */
+void kwb_store_lease_mark_lost(struct kwb_store_lease *lease);
+/* Releases the lease and does not try for it again. */
+void kwb_store_lease_step_down(struct kwb_store_lease *lease);
 
 /* ---- Settings of a node ---------------------------------------------------
  */
@@ -490,40 +541,47 @@
 
 /* ---- Peers: a way round a cut path to the store -------------------------- */
 
+/*
+ * When a node cannot reach the store and another node, a peer, can, its calls
+ * take a detour: the peer relays its connections. Each node runs a relay, knows
+ * a few peers from rows of the store, and probes the paths.
+ */
 enum kwb_path {
-	KWB_PATH_DIRECT, /* calls go to the store itself */
-	KWB_PATH_PROBE, /* likewise; nothing was answered lately: it is asked */
-	KWB_PATH_RELAY, /* through the peer that is in use */
-	KWB_PATH_SEARCH /* neither answers: a peer is looked for */
+	KWB_PATH_DIRECT, /* calls go straight to the store */
+	KWB_PATH_PROBE,	 /* likewise; it is silent, so a probe is sent */
+	KWB_PATH_RELAY,	 /* calls go through the peer in use */
+	KWB_PATH_SEARCH	 /* no path answers: probe the store through peers */
 };
 
-/* What the choice of a way looks at; see kwb_path_choose(). */
+/* Input of kwb_path_choose(). */
 struct kwb_path_input {
 	uint64_t direct_silence_ns; /* since the last answer without a peer */
-	uint64_t
-	    probe_unanswered_ns;   /* for so long a question is unanswered, 0 */
-	uint64_t relay_silence_ns; /* since the last one through a peer */
+	/* Since the first probe that the store has not answered; 0: none. */
+	uint64_t probe_unanswered_ns;
+	uint64_t relay_silence_ns; /* since the last answer through a peer */
 	bool is_relayed;	   /* a peer is in use */
 };
 
-enum kwb_path kwb_path_choose(const struct kwb_path_input *input); /* pure */
+/* Chooses the path of calls to the store; a pure function. */
+enum kwb_path kwb_path_choose(const struct kwb_path_input *input);
 
-/* What decides whether a peer's connection is passed on. */
+/* Input of kwb_relay_can_accept(). */
 struct kwb_relay_input {
-	uint64_t
-	    direct_silence_ns; /* since the store last answered this node */
-	bool is_relayed;       /* this node's calls go through a peer */
-	bool is_stopping;
-	uint32_t pairs;
-	uint32_t pairs_max;
+	/* Since the store last answered this node without a peer. */
+	uint64_t direct_silence_ns;
+	bool is_relayed;    /* this node's own calls go through a peer */
+	bool is_stopping;   /* the node ends */
+	uint32_t pairs;	    /* relayed connections open now */
+	uint32_t pairs_max; /* at most */
 };
 
-bool kwb_relay_can_accept(const struct kwb_relay_input *input); /* pure */
+/* Whether to relay one more connection of a peer; a pure function. */
+bool kwb_relay_can_accept(const struct kwb_relay_input *input);
 
 struct kwb_relay_pair;
 TAILQ_HEAD(kwb_relay_pair_list, kwb_relay_pair);
 
-/* Passes connections of peers on to the store. */
+/* Relays connections of peers to the store. */
 struct kwb_relay {
 	struct event_base *base;
 	const struct kwb_node_settings *settings;
@@ -534,72 +592,87 @@
 	bool is_stopping;
 };
 
+/* Listens for peers, if the settings name a port; 0 or a KWB_ERR_ number. */
 int kwb_relay_init(struct kwb_relay *relay, struct event_base *base,
-    const struct kwb_node_settings *settings,
-    const struct kwb_store *store); /* listens, where settings name a port */
-void kwb_relay_stop(struct kwb_relay *relay);	/* accepts nothing new */
-void kwb_relay_finish(struct kwb_relay *relay); /* closes everything */
+    const struct kwb_node_settings *settings, const struct kwb_store *store);
+/* Refuses new connections; open ones go on. */
+void kwb_relay_stop(struct kwb_relay *relay);
+/* Closes all connections and stops listening. */
+void kwb_relay_finish(struct kwb_relay *relay);
 
 struct kwb_peer {
 	char node[KWB_NAME_MAX_BYTES];
-	struct kwb_address address; /* its relay */
+	struct kwb_address address; /* of its relay */
 };
 
-/* A bounded number of other nodes, from rows of the store. */
+/*
+ * A bounded number of other nodes, read from rows that each node writes in the
+ * store: those that follow this node on a ring ordered by hashes of names.
+ */
 struct kwb_peers {
 	const struct kwb_node_settings *settings;
 	struct kwb_store *store;
-	struct kwb_store_call write; /* own row */
+	struct kwb_store_call write; /* of the own row */
 	struct kwb_store_call read;
-	struct kwb_store_call forget; /* removes rows of nodes long gone */
+	struct kwb_store_call removal; /* of the row of a node that is gone */
 	struct event *timer;
 	struct kwb_peer known[KWB_STORE_PEERS_MAX];
 	uint32_t known_count;
-	uint32_t next;				    /* asked next */
-	struct kwb_peer found[KWB_STORE_PEERS_MAX]; /* by a read in progress */
+	uint32_t next_index; /* of the peer that kwb_peers_next() returns */
+	/* By the read in progress. */
+	struct kwb_peer found[KWB_STORE_PEERS_MAX];
 	uint32_t found_count;
-	bool is_wrapped; /* that read goes on at the ring's begin */
-	bool is_written; /* the own row is there */
+	bool is_wrapped; /* the read has continued at the ring's start */
+	bool is_written; /* the own row has been written */
 };
 
+/*
+ * Starts to write the own row and to read others, if the settings name a port;
+ * returns KWB_ERR_MEMORY on failure.
+ */
 int kwb_peers_init(struct kwb_peers *peers, struct event_base *base,
-    const struct kwb_node_settings *settings,
-    struct kwb_store *store); /* begins to write and read rows */
-void kwb_peers_finish(struct kwb_peers *peers); /* ends it */
-const struct kwb_peer *kwb_peers_next(
-    struct kwb_peers *peers);			   /* by turns; NULL for none */
-uint64_t kwb_peer_ring_position(const char *node); /* on the ring of nodes */
-uint32_t kwb_peers_estimate_nodes(const struct kwb_peers
-	*peers); /* nodes in all, reckoned from how close the peers are */
+    const struct kwb_node_settings *settings, struct kwb_store *store);
+/* Stops writing and reading. */
+void kwb_peers_finish(struct kwb_peers *peers);
+/* The next peer, round robin; NULL when none is known. */
+const struct kwb_peer *kwb_peers_next(struct kwb_peers *peers);
+/* A node's position on the ring: a hash of its name. */
+uint64_t kwb_peer_ring_position(const char *node);
+/* Estimates the number of nodes from how densely peers lie on the ring. */
+uint32_t kwb_peers_estimate_nodes(const struct kwb_peers *peers);
 
 struct kwb_detour;
 
+/* A read of the store that shows whether a path works. */
 struct kwb_detour_probe {
 	struct kwb_store_call call;
 	struct kwb_detour *detour;
-	struct kwb_peer peer; /* asked through */
-	uint64_t begin_ns;
+	struct kwb_peer peer; /* that it goes through, in a search */
+	uint64_t sent_ns;
 };
 
-/* Chooses the way of calls to the store. */
+/* Switches calls to the store between the direct path and a peer's relay. */
 struct kwb_detour {
 	struct kwb_store *store;
 	struct kwb_peers *peers;
 	struct event *timer;
-	void (*on_change)(void *context); /* calls go through a peer now */
+	void (*on_change)(void *context); /* calls now go through a peer */
 	void *context;
-	struct kwb_peer peer;		 /* in use while store->relay is set */
-	struct kwb_detour_probe own;	 /* without a peer */
-	struct kwb_detour_probe through; /* the peer in use */
-	struct kwb_detour_probe seeks[KWB_PATH_PARALLEL_PROBES];
-	uint32_t tries;	   /* left in this look */
-	uint64_t asked_ns; /* first unanswered question, 0 */
+	struct kwb_peer peer; /* in use while store->relay is set */
+	struct kwb_detour_probe direct_probe; /* of the direct path */
+	struct kwb_detour_probe relay_probe;  /* through the peer in use */
+	struct kwb_detour_probe search_probes[KWB_PATH_PARALLEL_PROBES];
+	uint32_t probes_left; /* of the current search */
+	/* When the first unanswered direct probe was sent; 0 for none. */
+	uint64_t probing_since_ns;
 };
 
+/* Starts periodic checks on the loop; returns KWB_ERR_MEMORY on failure. */
 int kwb_detour_init(struct kwb_detour *detour, struct event_base *base,
     struct kwb_store *store, struct kwb_peers *peers,
-    void (*on_change)(void *context), void *context); /* begins to watch */
-void kwb_detour_finish(struct kwb_detour *detour);    /* ends it */
+    void (*on_change)(void *context), void *context);
+/* Stops the checks and probes. */
+void kwb_detour_finish(struct kwb_detour *detour);
 
 /* ---- Config: routes and services ----------------------------------------- */
 
--- a/src/peer/detour.c
+++ b/src/peer/detour.c
@@ -1,29 +1,29 @@
 /*
- * Takes calls to the store through a peer while the node's own path is cut, and
- * back once it answers. A peer is only used after a call through it has been
- * answered; what was sent before that on the silent path is given up, to be
- * read back or sent again.
+ * Sends calls to the store through a peer while the direct path is cut, and
+ * straight again once the store answers there. A peer is used only after a
+ * probe through it has been answered. Calls sent on the silent path before that
+ * probe then end as unknown, so that their callers read back or send again.
  */
 #include <event2/event.h>
 #include <string.h>
 
 #include "kwb_node.h"
 
-static void seek_next(
+static void search_probe_next(
     struct kwb_detour *detour, struct kwb_detour_probe *probe);
 
 static int
 probe_send(struct kwb_detour *detour, struct kwb_detour_probe *probe,
-    const struct kwb_address *through)
+    const struct kwb_address *relay)
 {
 	struct kwb_store *store = detour->store;
-	const struct kwb_address *before = store->relay;
+	const struct kwb_address *previous = store->relay;
 	int code;
 
-	probe->begin_ns = kwb_clock_now_ns();
-	store->relay = through;
+	probe->sent_ns = kwb_clock_now_ns();
+	store->relay = relay;
 	code = kwb_store_probe(store, &probe->call);
-	store->relay = before;
+	store->relay = previous;
 	return code;
 }
 
@@ -48,7 +48,8 @@
 }
 
 static void
-seek_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+search_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_detour_probe *probe = call->context;
 	struct kwb_detour *detour = probe->detour;
@@ -56,28 +57,28 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (!kwb_store_has_answered(answer)) {
-		seek_next(detour, probe);
+		search_probe_next(detour, probe);
 		return;
 	}
 	if (store->relay != NULL ||
 	    now_ns - store->direct_answer_ns < KWB_PATH_SILENT_NS)
-		return; /* another way was found first */
+		return; /* another path was found first */
 	set_relay(detour, &probe->peer);
-	kwb_store_give_up(store, probe->begin_ns);
+	kwb_store_give_up(store, probe->sent_ns);
 	detour->on_change(detour->context);
 }
 
-/* Asks through the next peer, a bounded number in each look. */
+/* Probes the store through the next peer, up to the limit of a search. */
 static void
-seek_next(struct kwb_detour *detour, struct kwb_detour_probe *probe)
+search_probe_next(struct kwb_detour *detour, struct kwb_detour_probe *probe)
 {
 	const struct kwb_peer *peer = kwb_peers_next(detour->peers);
 
-	if (peer == NULL || detour->tries == 0)
+	if (peer == NULL || detour->probes_left == 0)
 		return;
-	detour->tries--;
+	detour->probes_left--;
 	probe->peer = *peer;
-	probe->call.on_done = seek_answer;
+	probe->call.on_done = search_on_answer;
 	probe->call.context = probe;
 	if (probe_send(detour, probe, &probe->peer.address) != 0)
 		kwb_log(KWB_LOG_DEBUG, "detour", "event=probe_not_sent peer=%s",
@@ -85,7 +86,8 @@
 }
 
 static void
-own_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+direct_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_detour_probe *probe = call->context;
 	struct kwb_detour *detour = probe->detour;
@@ -94,49 +96,50 @@
 		set_relay(detour, NULL);
 }
 
-/* Its time of arrival is noted with each answer of the store. */
+/* kwb_store_record_answer() has noted its time already. */
 static void
-relay_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+relay_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	(void)call;
 	(void)answer;
 }
 
 static void
-probe_begin(struct kwb_detour *detour, struct kwb_detour_probe *probe,
-    const struct kwb_address *through,
+probe_if_due(struct kwb_detour *detour, struct kwb_detour_probe *probe,
+    const struct kwb_address *relay,
     void (*on_done)(
 	struct kwb_store_call *call, const struct kwb_store_answer *answer))
 {
-	if (kwb_clock_now_ns() - probe->begin_ns < KWB_PATH_PROBE_TIMEOUT_NS)
+	if (kwb_clock_now_ns() - probe->sent_ns < KWB_PATH_PROBE_TIMEOUT_NS)
 		return;
 	kwb_store_cancel(detour->store, &probe->call);
 	probe->call.on_done = on_done;
 	probe->call.context = probe;
-	if (probe_send(detour, probe, through) != 0)
+	if (probe_send(detour, probe, relay) != 0)
 		kwb_log(KWB_LOG_DEBUG, "detour", "event=probe_not_sent");
 }
 
 static void
-seek(struct kwb_detour *detour)
+search_start(struct kwb_detour *detour)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
-	detour->tries = KWB_PATH_SEARCH_PEERS;
+	detour->probes_left = KWB_PATH_SEARCH_PEERS;
 	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++) {
-		struct kwb_detour_probe *probe = &detour->seeks[i];
+		struct kwb_detour_probe *probe = &detour->search_probes[i];
 
 		if (probe->call.pending != NULL &&
-		    now_ns - probe->begin_ns < KWB_PATH_PROBE_TIMEOUT_NS)
+		    now_ns - probe->sent_ns < KWB_PATH_PROBE_TIMEOUT_NS)
 			continue;
 		kwb_store_cancel(detour->store, &probe->call);
-		seek_next(detour, probe);
+		search_probe_next(detour, probe);
 	}
 }
 
 static void
-detour_time(int fd, short what, void *context)
+detour_on_timer(int fd, short what, void *context)
 {
 	struct kwb_detour *detour = context;
 	struct kwb_store *store = detour->store;
@@ -145,37 +148,40 @@
 
 	(void)fd;
 	(void)what;
-	if (store->direct_answer_ns >= detour->asked_ns)
-		detour->asked_ns = 0;
+	if (store->direct_answer_ns >= detour->probing_since_ns)
+		detour->probing_since_ns = 0;
 	input = (struct kwb_path_input){
 	    .direct_silence_ns = now_ns - store->direct_answer_ns,
-	    .probe_unanswered_ns =
-		detour->asked_ns != 0 ? now_ns - detour->asked_ns : 0,
+	    .probe_unanswered_ns = detour->probing_since_ns != 0
+		? now_ns - detour->probing_since_ns
+		: 0,
 	    .relay_silence_ns = now_ns - store->relay_answer_ns,
 	    .is_relayed = store->relay != NULL};
 	kwb_timer_at(detour->timer, now_ns + KWB_PATH_CHECK_NS);
 	if (store->direct_answer_ns == 0 && store->relay == NULL &&
 	    detour->peers->known_count == 0)
-		return; /* has just started: knows no peers */
+		return; /* has just started and knows no peers yet */
 	switch (kwb_path_choose(&input)) {
 	case KWB_PATH_DIRECT:
 		set_relay(detour, NULL);
 		break;
 	case KWB_PATH_PROBE:
-		if (detour->asked_ns == 0)
-			detour->asked_ns = now_ns;
+		if (detour->probing_since_ns == 0)
+			detour->probing_since_ns = now_ns;
 		set_relay(detour, NULL);
-		probe_begin(detour, &detour->own, NULL, own_answer);
+		probe_if_due(
+		    detour, &detour->direct_probe, NULL, direct_on_answer);
 		break;
 	case KWB_PATH_RELAY:
-		probe_begin(detour, &detour->own, NULL, own_answer);
+		probe_if_due(
+		    detour, &detour->direct_probe, NULL, direct_on_answer);
 		if (input.relay_silence_ns >= KWB_PATH_SILENT_NS / 2)
-			probe_begin(detour, &detour->through, store->relay,
-			    relay_answer);
+			probe_if_due(detour, &detour->relay_probe, store->relay,
+			    relay_on_answer);
 		break;
 	case KWB_PATH_SEARCH:
 		set_relay(detour, NULL);
-		seek(detour);
+		search_start(detour);
 		break;
 	}
 }
@@ -192,11 +198,11 @@
 	detour->peers = peers;
 	detour->on_change = on_change;
 	detour->context = context;
-	detour->own.detour = detour;
-	detour->through.detour = detour;
+	detour->direct_probe.detour = detour;
+	detour->relay_probe.detour = detour;
 	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++)
-		detour->seeks[i].detour = detour;
-	detour->timer = kwb_timer_new(base, detour_time, detour);
+		detour->search_probes[i].detour = detour;
+	detour->timer = kwb_timer_new(base, detour_on_timer, detour);
 	if (detour->timer == NULL)
 		return KWB_ERR_MEMORY;
 	kwb_timer_at(detour->timer, kwb_clock_now_ns() + KWB_PATH_CHECK_NS);
@@ -208,9 +214,9 @@
 {
 	uint32_t i;
 
-	kwb_store_cancel(detour->store, &detour->own.call);
-	kwb_store_cancel(detour->store, &detour->through.call);
+	kwb_store_cancel(detour->store, &detour->direct_probe.call);
+	kwb_store_cancel(detour->store, &detour->relay_probe.call);
 	for (i = 0; i < KWB_PATH_PARALLEL_PROBES; i++)
-		kwb_store_cancel(detour->store, &detour->seeks[i].call);
+		kwb_store_cancel(detour->store, &detour->search_probes[i].call);
 	event_free(detour->timer);
 }
--- a/src/peer/path.c
+++ b/src/peer/path.c
@@ -1,7 +1,7 @@
 /*
- * Decides which way calls to the store take. Answers a load of faults in which
- * the store serves some nodes and not others: a cut path, or a store that turns
- * a node away. While the store is out for all there is no peer to go through.
+ * Chooses the path of calls to the store. A peer helps when the store serves
+ * some nodes and not others: the node's path is cut, or the store turns the
+ * node away. During an outage of the store itself no peer accepts connections.
  */
 #include "kwb_node.h"
 
@@ -12,13 +12,13 @@
 		return KWB_PATH_DIRECT;
 	if (input->is_relayed && input->relay_silence_ns < KWB_PATH_SILENT_NS)
 		return KWB_PATH_RELAY;
-	/* A node with little to do may just not have asked. */
+	/* An idle node may just have sent no calls: a probe decides. */
 	if (input->probe_unanswered_ns < KWB_PATH_UNANSWERED_NS)
 		return KWB_PATH_PROBE;
 	return KWB_PATH_SEARCH;
 }
 
-/* A node that has lost its own path is of no use to another one. */
+/* A node without a working path of its own cannot help another. */
 bool
 kwb_relay_can_accept(const struct kwb_relay_input *input)
 {
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -1,7 +1,10 @@
 /*
- * Peers of a node: the few nodes that follow it on a ring of all nodes, read
- * from rows that each node writes of itself. Their number and the cost of
- * reading them don't depend on the size of the fleet.
+ * Peers of a node: the few nodes that follow it on a ring of all nodes, ordered
+ * by hashes of their names. Each node writes its own row, keyed by that hash,
+ * and reads the rows after it. So the number of peers and the cost of reading
+ * them don't depend on the number of nodes.
+ *
+ * A row's value is "NODE IP:PORT WRITTEN_MS"; the address is its relay's.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -10,11 +13,14 @@
 
 #include "kwb_node.h"
 
-#define TABLE_PEERS "peers" /* key: place on the ring */
+#define TABLE_PEERS "peers" /* key: position on the ring, in hex */
 #define KEY_BYTES 24
 #define VALUE_BYTES 192
 
-/* Names differ in their last characters only; their places must not. */
+/*
+ * Node names often differ in their last characters only; mixing all bits of the
+ * hash spreads them evenly over the ring.
+ */
 uint64_t
 kwb_peer_ring_position(const char *node)
 {
@@ -37,21 +43,21 @@
     const struct kwb_row *row, struct kwb_peer *peer, uint64_t *written_ms)
 {
 	char address[KWB_NAME_MAX_BYTES];
-	unsigned long long at_ms;
+	unsigned long long parsed_ms;
 
-	if (sscanf(row->value, "%63s %63s %llu", peer->node, address, &at_ms) !=
-		3 ||
+	if (sscanf(row->value, "%63s %63s %llu", peer->node, address,
+		&parsed_ms) != 3 ||
 	    kwb_address_parse(&peer->address, address) != 0) {
 		kwb_log(KWB_LOG_WARN, "peer", "event=row_unreadable key=%s",
 		    row->key);
 		return false;
 	}
-	*written_ms = at_ms;
+	*written_ms = parsed_ms;
 	return true;
 }
 
 static void
-forget_answer(
+removal_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	(void)call;
@@ -59,26 +65,27 @@
 	    kwb_error_name(answer->error));
 }
 
-/* The row of a node that is long gone takes a place on the ring. */
+/* Removes the row of a node that is gone: it would use up a row of each read.
+ */
 static void
-row_forget(struct kwb_peers *peers, const struct kwb_row *row)
+row_remove(struct kwb_peers *peers, const struct kwb_row *row)
 {
 	static struct kwb_tx tx;
 	struct kwb_store *store = peers->store;
 
-	if (peers->forget.pending != NULL)
+	if (peers->removal.pending != NULL)
 		return;
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_expect(&tx, TABLE_PEERS, "", row->key, row->revision);
 	kwb_tx_remove(&tx, TABLE_PEERS, "", row->key);
-	peers->forget.on_done = forget_answer;
-	if (store->ops->transact(store, &tx, &peers->forget) != 0)
+	peers->removal.on_done = removal_on_answer;
+	if (store->ops->transact(store, &tx, &peers->removal) != 0)
 		kwb_log(KWB_LOG_WARN, "peer", "event=row_not_removed key=%s",
 		    row->key);
 }
 
 static void
-row_note(struct kwb_peers *peers, const struct kwb_row *row)
+found_add_row(struct kwb_peers *peers, const struct kwb_row *row)
 {
 	uint64_t now_ms = kwb_store_now_ms(peers->store);
 	uint64_t written_ms = 0;
@@ -89,7 +96,7 @@
 	    strcmp(peer.node, peers->settings->node) == 0)
 		return;
 	if (now_ms > written_ms + KWB_PEER_EXPIRY_MS) {
-		row_forget(peers, row);
+		row_remove(peers, row);
 		return;
 	}
 	for (i = 0; i < peers->found_count; i++)
@@ -108,10 +115,11 @@
 	    KWB_LOG_INFO, "peer", "event=known count=%u", peers->known_count);
 }
 
-static void peers_read(struct kwb_peers *peers, const char *from);
+static void read_start(struct kwb_peers *peers, const char *from);
 
 static void
-read_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+read_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_peers *peers = call->context;
 	uint32_t i;
@@ -122,24 +130,24 @@
 		return;
 	}
 	for (i = 0; i < answer->rows_count; i++)
-		row_note(peers, &answer->rows[i]);
+		found_add_row(peers, &answer->rows[i]);
 	if (!peers->is_wrapped && peers->found_count < KWB_STORE_PEERS_MAX) {
 		peers->is_wrapped = true;
-		peers_read(peers, NULL);
+		read_start(peers, NULL);
 		return;
 	}
 	read_done(peers);
 }
 
 static void
-peers_read(struct kwb_peers *peers, const char *from)
+read_start(struct kwb_peers *peers, const char *from)
 {
 	struct kwb_range range = {.table = TABLE_PEERS,
 	    .part = "",
 	    .from = from,
 	    .limit = KWB_STORE_PEERS_MAX + 1};
 
-	peers->read.on_done = read_answer;
+	peers->read.on_done = read_on_answer;
 	peers->read.context = peers;
 	if (peers->store->ops->range(peers->store, &range, &peers->read) != 0)
 		kwb_timer_at(
@@ -147,7 +155,8 @@
 }
 
 static void
-write_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+write_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_peers *peers = call->context;
 	char key[KEY_BYTES];
@@ -161,12 +170,12 @@
 	ring_key(key, peers->settings->node);
 	peers->found_count = 0;
 	peers->is_wrapped = false;
-	peers_read(peers, key);
+	read_start(peers, key);
 }
 
-/* Writes the own row, then reads those behind it. */
+/* Writes the own row; its answer starts the read of the rows after it. */
 static void
-peers_time(int fd, short what, void *context)
+peers_on_timer(int fd, short what, void *context)
 {
 	static struct kwb_tx tx;
 	struct kwb_peers *peers = context;
@@ -192,9 +201,9 @@
 	    (unsigned long long)kwb_store_now_ms(store));
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_put(&tx, TABLE_PEERS, "", key, value, (size_t)length);
-	peers->write.on_done = write_answer;
+	peers->write.on_done = write_on_answer;
 	peers->write.context = peers;
-	/* The first read comes while others still write their rows. */
+	/* Nodes that start together may have no row yet: read again soon. */
 	if (!peers->is_written)
 		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_FIRST_REFRESH_NS);
 	if (store->ops->transact(store, &tx, &peers->write) != 0)
@@ -206,23 +215,23 @@
 {
 	if (peers->known_count == 0)
 		return NULL;
-	return &peers->known[peers->next++ % peers->known_count];
+	return &peers->known[peers->next_index++ % peers->known_count];
 }
 
 uint32_t
 kwb_peers_estimate_nodes(const struct kwb_peers *peers)
 {
 	uint64_t own = kwb_peer_ring_position(peers->settings->node);
-	uint64_t span;
-	double fleet;
+	uint64_t covered;
+	double nodes;
 
 	if (peers->known_count < KWB_STORE_PEERS_MAX)
 		return peers->known_count + 1;
-	span =
+	covered =
 	    kwb_peer_ring_position(peers->known[peers->known_count - 1].node) -
 	    own;
-	fleet = (double)UINT64_MAX / (double)span * peers->known_count;
-	return (uint32_t)fleet;
+	nodes = (double)UINT64_MAX / (double)covered * peers->known_count;
+	return (uint32_t)nodes;
 }
 
 int
@@ -232,7 +241,7 @@
 	memset(peers, 0, sizeof(*peers));
 	peers->settings = settings;
 	peers->store = store;
-	peers->timer = kwb_timer_new(base, peers_time, peers);
+	peers->timer = kwb_timer_new(base, peers_on_timer, peers);
 	if (peers->timer == NULL)
 		return KWB_ERR_MEMORY;
 	if (settings->peers.port != 0)
@@ -246,6 +255,6 @@
 {
 	kwb_store_cancel(peers->store, &peers->write);
 	kwb_store_cancel(peers->store, &peers->read);
-	kwb_store_cancel(peers->store, &peers->forget);
+	kwb_store_cancel(peers->store, &peers->removal);
 	event_free(peers->timer);
 }
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -1,8 +1,8 @@
 /*
- * The relay: passes a peer's connections on to the store, byte for byte, so
- * that its calls keep their conditions and answers. It reads nothing of them.
- * Bounded in connections, in bytes held for each and in idle time, and always
- * over this node's own path, so relays never form a chain.
+ * The relay: copies bytes between a peer's connections and the store without
+ * reading them, so that calls keep their conditions and answers. The number of
+ * connections, the bytes buffered for each and its idle time are bounded. It
+ * always uses this node's direct path, so relays never form a chain.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -14,11 +14,13 @@
 
 #include "kwb_node.h"
 
+/* A peer's connection and the one to the store that it is relayed to. */
 struct kwb_relay_pair {
 	struct kwb_relay *relay;
 	struct bufferevent *peer;
 	struct bufferevent *store;
-	bool ending; /* one side has closed; the rest is written first */
+	bool is_closing; /* one side has closed; the other is written out first
+			  */
 	TAILQ_ENTRY(kwb_relay_pair) entry;
 };
 
@@ -41,7 +43,7 @@
 }
 
 static void
-side_read(struct bufferevent *side, void *context)
+side_on_readable(struct bufferevent *side, void *context)
 {
 	struct kwb_relay_pair *pair = context;
 	struct bufferevent *to = other_side(pair, side);
@@ -50,35 +52,35 @@
 	kwb_metric_add(KWB_METRIC_RELAYED_BYTES,
 	    evbuffer_get_length(bufferevent_get_input(side)));
 	evbuffer_add_buffer(out, bufferevent_get_input(side));
-	/* A side that does not read must not make this node hold its bytes. */
+	/* Bounds the bytes buffered for a side that does not read. */
 	if (evbuffer_get_length(out) >= KWB_RELAY_BUFFER_BYTES)
 		bufferevent_disable(side, EV_READ);
 }
 
 static void
-side_written(struct bufferevent *side, void *context)
+side_on_written(struct bufferevent *side, void *context)
 {
 	struct kwb_relay_pair *pair = context;
 
 	if (evbuffer_get_length(bufferevent_get_output(side)) > 0)
 		return;
-	if (pair->ending)
+	if (pair->is_closing)
 		pair_free(pair);
 	else
 		bufferevent_enable(other_side(pair, side), EV_READ);
 }
 
 static void
-side_event(struct bufferevent *side, short what, void *context)
+side_on_event(struct bufferevent *side, short what, void *context)
 {
 	struct kwb_relay_pair *pair = context;
 	struct bufferevent *to = other_side(pair, side);
 
 	if (what & BEV_EVENT_CONNECTED)
 		return;
-	if ((what & BEV_EVENT_EOF) && !pair->ending &&
+	if ((what & BEV_EVENT_EOF) && !pair->is_closing &&
 	    evbuffer_get_length(bufferevent_get_output(to)) > 0) {
-		pair->ending = true;
+		pair->is_closing = true;
 		bufferevent_disable(side, EV_READ | EV_WRITE);
 		return;
 	}
@@ -86,11 +88,12 @@
 }
 
 static void
-side_open(struct bufferevent *side, struct kwb_relay_pair *pair)
+side_start(struct bufferevent *side, struct kwb_relay_pair *pair)
 {
 	const struct timeval idle = {.tv_sec = KWB_RELAY_IDLE_S};
 
-	bufferevent_setcb(side, side_read, side_written, side_event, pair);
+	bufferevent_setcb(
+	    side, side_on_readable, side_on_written, side_on_event, pair);
 	bufferevent_setwatermark(side, EV_READ, 0, KWB_RELAY_BUFFER_BYTES);
 	bufferevent_set_timeouts(side, &idle, &idle);
 	bufferevent_enable(side, EV_READ | EV_WRITE);
@@ -135,8 +138,8 @@
 		pair_free(pair);
 		return;
 	}
-	side_open(pair->peer, pair);
-	side_open(pair->store, pair);
+	side_start(pair->peer, pair);
+	side_start(pair->store, pair);
 }
 
 int
--- a/src/store/again.c
+++ b/src/store/again.c
@@ -1,7 +1,7 @@
 /*
- * Second copies of calls to the store. A connection, or a part of the store,
- * may fall silent while others are answered; a call sent into that silence
- * would wait for its timeout long after it is over.
+ * Second copies of calls to the store. A connection, or a partition of the
+ * store, may stop answering while others still answer. Without a second copy, a
+ * call sent there waits for its timeout even if the fault ends long before.
  */
 #include <string.h>
 
@@ -25,7 +25,7 @@
 	for (i = 0; i < tx->put_count; i++)
 		if (is_same_row(&tx->expect[0], &tx->put[i]))
 			return KWB_RESEND_WRITE;
-	/* A removal of what isn't there leaves the condition as it was. */
+	/* Removing a missing row leaves the condition true for each copy. */
 	for (i = 0; i < tx->remove_count && tx->expect[0].revision != 0; i++)
 		if (is_same_row(&tx->expect[0], &tx->remove[i]))
 			return KWB_RESEND_WRITE;
@@ -34,9 +34,9 @@
 
 bool
 kwb_resend_is_due(
-    enum kwb_resend_policy again, uint64_t sent_ns, uint64_t now_ns)
+    enum kwb_resend_policy policy, uint64_t sent_ns, uint64_t now_ns)
 {
-	switch (again) {
+	switch (policy) {
 	case KWB_RESEND_READ:
 		return now_ns >= sent_ns + KWB_READ_RESEND_NS;
 	case KWB_RESEND_WRITE:
@@ -48,17 +48,17 @@
 }
 
 bool
-kwb_resend_ends_call(
-    enum kwb_resend_policy again, uint32_t copies, uint32_t others, int *error)
+kwb_resend_ends_call(enum kwb_resend_policy policy, uint32_t copies,
+    uint32_t open_copies, int *error)
 {
 	const struct kwb_store_answer answer = {.error = *error};
 
 	if (*error == 0 || copies < 2)
 		return true;
-	if (!kwb_store_has_answered(&answer) && others > 0)
+	if (!kwb_store_has_answered(&answer) && open_copies > 0)
 		return false;
-	/* What one copy is told may be another's doing. */
-	if (again == KWB_RESEND_WRITE)
+	/* The error may stem from another copy that has taken effect. */
+	if (policy == KWB_RESEND_WRITE)
 		*error = KWB_ERR_STORE_UNKNOWN;
 	return true;
 }
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -1,7 +1,8 @@
 /*
- * Follower of a table: one whole read, then the feed. When the feed's history
- * is gone the table is read whole again, and rows that vanished in between are
- * told of as deleted.
+ * Follows a table: reads all of its rows, page by page, then waits for changes
+ * in its feed. When the store no longer has the history from the last known
+ * revision on, the whole table is read again, and rows that are missing from it
+ * are reported as deleted.
  */
 #include <event2/event.h>
 #include <stdlib.h>
@@ -9,22 +10,23 @@
 
 #include "kwb_node.h"
 
-static void follower_step(struct kwb_follower *follower);
+static void follower_fetch(struct kwb_follower *follower);
 
 static struct kwb_follower_row *
 row_new(struct kwb_follower *follower, const char *key)
 {
-	uint32_t room = follower->rows_room ? follower->rows_room * 2 : 16;
+	uint32_t capacity =
+	    follower->rows_capacity ? follower->rows_capacity * 2 : 16;
 	struct kwb_follower_row **rows;
 	struct kwb_follower_row *row;
 
-	if (follower->rows_count == follower->rows_room) {
-		rows = realloc(
-		    follower->rows, room * sizeof(struct kwb_follower_row *));
+	if (follower->rows_count == follower->rows_capacity) {
+		rows = realloc(follower->rows,
+		    capacity * sizeof(struct kwb_follower_row *));
 		if (rows == NULL)
 			return NULL;
 		follower->rows = rows;
-		follower->rows_room = room;
+		follower->rows_capacity = capacity;
 	}
 	row = calloc(1, sizeof(*row));
 	if (row == NULL)
@@ -36,19 +38,19 @@
 		free(row);
 		return NULL;
 	}
-	row->at = follower->rows_count;
+	row->row_index = follower->rows_count;
 	follower->rows[follower->rows_count++] = row;
 	return row;
 }
 
 static void
-row_forget(struct kwb_follower *follower, struct kwb_follower_row *known)
+row_remove(struct kwb_follower *follower, struct kwb_follower_row *known)
 {
 	struct kwb_follower_row *last = follower->rows[--follower->rows_count];
 
 	kwb_index_remove(&follower->index, known->key);
-	last->at = known->at;
-	follower->rows[last->at] = last;
+	last->row_index = known->row_index;
+	follower->rows[last->row_index] = last;
 	free(known->key);
 	free(known);
 }
@@ -66,7 +68,7 @@
 	if (row->deleted) {
 		if (known == NULL)
 			return;
-		row_forget(follower, known);
+		row_remove(follower, known);
 		follower->on_row(follower->context, row);
 		return;
 	}
@@ -86,9 +88,9 @@
 }
 
 static void
-rows_sweep(struct kwb_follower *follower)
+rows_remove_unseen(struct kwb_follower *follower)
 {
-	struct kwb_row gone = {.deleted = true};
+	struct kwb_row deleted_row = {.deleted = true};
 	uint32_t i = 0;
 
 	while (i < follower->rows_count) {
@@ -96,10 +98,10 @@
 			follower->rows[i++]->seen = false;
 			continue;
 		}
-		gone.key = follower->rows[i]->key;
-		gone.revision = follower->read_revision;
-		follower->on_row(follower->context, &gone);
-		row_forget(follower, follower->rows[i]);
+		deleted_row.key = follower->rows[i]->key;
+		deleted_row.revision = follower->read_revision;
+		follower->on_row(follower->context, &deleted_row);
+		row_remove(follower, follower->rows[i]);
 	}
 }
 
@@ -108,24 +110,24 @@
 {
 	uint32_t i;
 
-	if (follower->from == NULL)
+	if (follower->next_key == NULL)
 		follower->read_revision = answer->revision;
 	for (i = 0; i < answer->rows_count; i++)
 		row_apply(follower, &answer->rows[i]);
-	free(follower->from);
-	follower->from = NULL;
+	free(follower->next_key);
+	follower->next_key = NULL;
 	if (answer->more && answer->rows_count > 0) {
-		follower->from = malloc(
+		follower->next_key = malloc(
 		    strlen(answer->rows[answer->rows_count - 1].key) + 2);
-		if (follower->from == NULL)
+		if (follower->next_key == NULL)
 			return;
-		/* The next key in byte order; the last page held this one. */
-		strcpy(
-		    follower->from, answer->rows[answer->rows_count - 1].key);
-		strcat(follower->from, "\x01");
+		/* The lowest key after the last one of this page. */
+		strcpy(follower->next_key,
+		    answer->rows[answer->rows_count - 1].key);
+		strcat(follower->next_key, "\x01");
 		return;
 	}
-	rows_sweep(follower);
+	rows_remove_unseen(follower);
 	follower->revision = follower->read_revision;
 	follower->reading = false;
 	follower->synced = true;
@@ -146,32 +148,32 @@
 }
 
 static void
-read_again(struct kwb_follower *follower)
+read_restart(struct kwb_follower *follower)
 {
 	uint32_t i;
 
-	free(follower->from);
-	follower->from = NULL;
+	free(follower->next_key);
+	follower->next_key = NULL;
 	follower->reading = true;
 	for (i = 0; i < follower->rows_count; i++)
 		follower->rows[i]->seen = false;
 }
 
 static void
-follower_answer(
+follower_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_follower *follower = call->context;
-	uint64_t wait_ns = KWB_STORE_RETRY_NS;
+	uint64_t delay_ns = KWB_STORE_RETRY_NS;
 
 	if (answer->error == 0) {
 		follower->failures = 0;
-		follower->fresh_ns = kwb_clock_now_ns();
+		follower->answered_ns = kwb_clock_now_ns();
 		if (follower->reading)
 			page_done(follower, answer);
 		else
 			feed_done(follower, answer);
-		follower_step(follower);
+		follower_fetch(follower);
 		return;
 	}
 	if (answer->error == KWB_ERR_STORE_HISTORY) {
@@ -179,23 +181,26 @@
 		    "event=read_again table=%s revision=%llu reason=%s",
 		    follower->table, (unsigned long long)follower->revision,
 		    kwb_error_name(answer->error));
-		read_again(follower);
-		follower_step(follower);
+		read_restart(follower);
+		follower_fetch(follower);
 		return;
 	}
-	/* Silent for long enough that leases may have lapsed: look anew. */
+	/*
+	 * From the second failure on, retries come half as often. A whole read
+	 * starts over: entries of earlier pages may have expired by now.
+	 */
 	if (follower->failures++ > 0)
-		wait_ns *= 2;
+		delay_ns *= 2;
 	if (follower->reading)
-		read_again(follower);
-	kwb_timer_at(follower->timer, kwb_clock_now_ns() + wait_ns);
+		read_restart(follower);
+	kwb_timer_at(follower->timer, kwb_clock_now_ns() + delay_ns);
 }
 
 static void
-follower_step(struct kwb_follower *follower)
+follower_fetch(struct kwb_follower *follower)
 {
 	struct kwb_range range = {
-	    .table = follower->table, .part = "", .from = follower->from};
+	    .table = follower->table, .part = "", .from = follower->next_key};
 	int code;
 
 	follower->started_ns = kwb_clock_now_ns();
@@ -212,11 +217,11 @@
 }
 
 static void
-follower_time(int fd, short what, void *context)
+follower_on_timer(int fd, short what, void *context)
 {
 	(void)fd;
 	(void)what;
-	follower_step(context);
+	follower_fetch(context);
 }
 
 int
@@ -231,13 +236,13 @@
 	follower->context = context;
 	follower->store = store;
 	follower->table = table;
-	follower->call.on_done = follower_answer;
+	follower->call.on_done = follower_on_answer;
 	follower->call.context = follower;
 	follower->reading = true;
-	follower->timer = kwb_timer_new(base, follower_time, follower);
+	follower->timer = kwb_timer_new(base, follower_on_timer, follower);
 	if (follower->timer == NULL)
 		return KWB_ERR_MEMORY;
-	follower_step(follower);
+	follower_fetch(follower);
 	return 0;
 }
 
@@ -254,12 +259,12 @@
 	}
 	free(follower->rows);
 	kwb_index_finish(&follower->index);
-	free(follower->from);
+	free(follower->next_key);
 }
 
 bool
 kwb_follower_is_current(const struct kwb_follower *follower, uint64_t age_ns)
 {
 	return follower->synced &&
-	    kwb_clock_now_ns() - follower->fresh_ns <= age_ns;
+	    kwb_clock_now_ns() - follower->answered_ns <= age_ns;
 }
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -1,11 +1,15 @@
 /*
- * A lease on a duty, kept in one row with a fencing token. A holder acts for
- * half a term after the begin of its last renewal; another node takes over one
- * and a half terms after it first saw that renewal. So a whole term lies
- * between the last act of one holder and the first of the next, whatever the
- * two clocks say. Where the token itself is checked, two thirds of a term are
- * enough: what is late is refused. All times here go on while a machine is
- * suspended.
+ * A lease that lets one node at a time do a job, kept in one row of the store
+ * with a fencing token. The holder acts until half a term after the start of
+ * its last renewal. Another node takes over one and a half terms after it first
+ * read that renewal. So at least a whole term lies between the last order of
+ * one holder and the first of the next, without comparing their clocks. Where
+ * the receivers of orders check the token, two thirds of a term are enough,
+ * because they refuse late orders of the old holder. All times are of the boot
+ * clock, which runs on while a machine is suspended.
+ *
+ * A row's value is "HOLDER FENCE LAST_HOLDER"; HOLDER is "-" once the lease
+ * has been released.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -17,9 +21,9 @@
 #define LEASE_VALUE_BYTES 160
 
 static void
-lease_wait(struct kwb_store_lease *lease, uint64_t wait_ns)
+lease_schedule(struct kwb_store_lease *lease, uint64_t delay_ns)
 {
-	kwb_timer_at(lease->timer, kwb_clock_now_ns() + wait_ns);
+	kwb_timer_at(lease->timer, kwb_clock_now_ns() + delay_ns);
 }
 
 static void
@@ -52,36 +56,39 @@
 	lease->writing = true;
 	lease->row_fence = fence;
 	if (lease->store->ops->transact(lease->store, &tx, &lease->call) != 0)
-		lease_wait(lease, lease->lease_ns / 3);
+		lease_schedule(lease, lease->lease_ns / 3);
 }
 
 static void
 lease_read(struct kwb_store_lease *lease)
 {
-	char to[KWB_NAME_MAX_BYTES + 1];
-	struct kwb_range range = {
-	    .table = LEASE_TABLE, .part = "", .from = lease->name, .to = to};
+	char end_key[KWB_NAME_MAX_BYTES + 1];
+	struct kwb_range range = {.table = LEASE_TABLE,
+	    .part = "",
+	    .from = lease->name,
+	    .to = end_key};
 
-	snprintf(to, sizeof(to), "%s\x01", lease->name);
+	snprintf(end_key, sizeof(end_key), "%s\x01", lease->name);
 	lease->started_ns = kwb_boot_now_ns();
 	lease->writing = false;
 	if (lease->store->ops->range(lease->store, &range, &lease->call) != 0)
-		lease_wait(lease, lease->lease_ns / 3);
+		lease_schedule(lease, lease->lease_ns / 3);
 }
 
-/* Decides, after a read, whether this node may take the lease. */
+/* Takes the lease if the row read allows it, else schedules another read. */
 static void
-lease_look(struct kwb_store_lease *lease, const struct kwb_row *row)
+lease_take_if_free(struct kwb_store_lease *lease, const struct kwb_row *row)
 {
 	char holder[KWB_NAME_MAX_BYTES] = "";
-	char last[KWB_NAME_MAX_BYTES] = "";
+	char last_holder[KWB_NAME_MAX_BYTES] = "";
 	unsigned long long fence = 0;
 	uint64_t now_ns = kwb_boot_now_ns();
-	uint64_t wait_ns =
+	uint64_t takeover_ns =
 	    lease->fenced ? lease->lease_ns * 2 / 3 : lease->lease_ns * 3 / 2;
 
 	if (row != NULL &&
-	    sscanf(row->value, "%63s %llu %63s", holder, &fence, last) < 2)
+	    sscanf(row->value, "%63s %llu %63s", holder, &fence, last_holder) <
+		2)
 		kwb_log(KWB_LOG_WARN, "lease",
 		    "event=unreadable name=%s revision=%llu", lease->name,
 		    (unsigned long long)row->revision);
@@ -92,17 +99,18 @@
 	}
 	lease->row_fence = fence;
 	if (strcmp(holder, "-") == 0)
-		wait_ns = lease->fenced ? 0 : lease->lease_ns;
-	if (row == NULL || strcmp(last, lease->holder) == 0 ||
-	    now_ns - lease->row_seen_ns >= wait_ns) {
+		takeover_ns = lease->fenced ? 0 : lease->lease_ns;
+	if (row == NULL || strcmp(last_holder, lease->holder) == 0 ||
+	    now_ns - lease->row_seen_ns >= takeover_ns) {
 		lease_write(lease, fence + 1, false);
 		return;
 	}
-	lease_wait(lease, lease->lease_ns / 6);
+	lease_schedule(lease, lease->lease_ns / 6);
 }
 
 static void
-lease_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+lease_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_store_lease *lease = call->context;
 
@@ -115,11 +123,11 @@
 			return;
 		}
 		set_fence(lease, lease->row_fence, "written");
-		lease_wait(lease, lease->lease_ns / 4);
+		lease_schedule(lease, lease->lease_ns / 4);
 		return;
 	}
 	if (answer->error == 0) {
-		lease_look(
+		lease_take_if_free(
 		    lease, answer->rows_count > 0 ? &answer->rows[0] : NULL);
 		return;
 	}
@@ -127,14 +135,14 @@
 		set_fence(lease, 0, "taken_by_another");
 	if (lease->released)
 		return;
-	/* After a write without answer only a read tells what the row is. */
+	/* A write without an answer may have been done: read the row first. */
 	if (lease->fence == 0 || answer->error != KWB_ERR_STORE_REFUSED)
 		lease->writing = false;
-	lease_wait(lease, KWB_STORE_RETRY_NS);
+	lease_schedule(lease, KWB_STORE_RETRY_NS);
 }
 
 static void
-lease_time(int fd, short what, void *context)
+lease_on_timer(int fd, short what, void *context)
 {
 	struct kwb_store_lease *lease = context;
 
@@ -162,9 +170,9 @@
 	lease->fenced = fenced;
 	lease->on_change = on_change;
 	lease->context = context;
-	lease->call.on_done = lease_answer;
+	lease->call.on_done = lease_on_answer;
 	lease->call.context = lease;
-	lease->timer = kwb_timer_new(base, lease_time, lease);
+	lease->timer = kwb_timer_new(base, lease_on_timer, lease);
 	if (lease->timer == NULL)
 		return KWB_ERR_MEMORY;
 	lease_read(lease);
@@ -210,5 +218,5 @@
 	set_fence(lease, 0, "fenced_off");
 	kwb_store_cancel(lease->store, &lease->call);
 	lease->writing = false;
-	lease_wait(lease, lease->lease_ns);
+	lease_schedule(lease, lease->lease_ns);
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,12 +1,12 @@
 /*
- * What all implementations of the store share: freshness, its clock, and the
- * building of transactions.
+ * Code that all implementations of the store share: when the store last
+ * answered, its clock, and building transactions.
  */
 #include <string.h>
 
 #include "kwb_node.h"
 
-#define PROBE_TABLE "leases" /* small, and always there */
+#define PROBE_TABLE "leases" /* a small table that always exists */
 
 void
 kwb_store_cancel(struct kwb_store *store, struct kwb_store_call *call)
@@ -83,7 +83,7 @@
 }
 
 static void
-row_set(struct kwb_tx_row *row, const char *table, const char *part,
+tx_row_set(struct kwb_tx_row *row, const char *table, const char *part,
     const char *key)
 {
 	memset(row, 0, sizeof(*row));
@@ -98,7 +98,7 @@
 {
 	struct kwb_tx_row *row = &tx->expect[tx->expect_count++];
 
-	row_set(row, table, part, key);
+	tx_row_set(row, table, part, key);
 	row->revision = revision;
 }
 
@@ -108,7 +108,7 @@
 {
 	struct kwb_tx_row *row = &tx->put[tx->put_count++];
 
-	row_set(row, table, part, key);
+	tx_row_set(row, table, part, key);
 	row->value = value;
 	row->value_bytes = value_bytes;
 }
@@ -117,5 +117,5 @@
 kwb_tx_remove(
     struct kwb_tx *tx, const char *table, const char *part, const char *key)
 {
-	row_set(&tx->remove[tx->remove_count++], table, part, key);
+	tx_row_set(&tx->remove[tx->remove_count++], table, part, key);
 }
