--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -68,12 +68,12 @@
 #define KWB_PATH_CHECK_NS (125 * KWB_MS_NS) /* between checks of the path */
 /* A path without an answer for this long counts as silent. */
 #define KWB_PATH_SILENT_NS (400 * KWB_MS_NS)
-/* A probe unanswered for this long means a cut path; usual are 4 ms. */
+/* Probing without an answer for this long means a cut path; usual are 4 ms. */
 #define KWB_PATH_UNANSWERED_NS (150 * KWB_MS_NS)
 /* A probe is replaced after this; a slow store answers sooner. */
 #define KWB_PATH_PROBE_TIMEOUT_NS (400 * KWB_MS_NS)
 #define KWB_PATH_PARALLEL_PROBES 2	     /* peers probed at a time */
-#define KWB_PATH_SEARCH_PEERS 6		     /* peers probed in one search */
+#define KWB_PATH_SEARCH_PEERS 6		     /* peers probed in one check */
 #define KWB_STORE_PEERS_MAX 16		     /* peers known to a node */
 #define KWB_PEERS_RETRY_NS (500 * KWB_MS_NS) /* after a failed call */
 /* Second write and read: nodes that start together had no rows before. */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -456,12 +456,12 @@
 	uint32_t rows_capacity;
 	char *next_key;	   /* first of the next page; NULL for the first page */
 	uint64_t revision; /* up to which changes are known */
-	uint64_t read_revision; /* at the first page of a whole read */
-	uint64_t answered_ns;	/* when the last call was answered */
-	uint64_t started_ns;	/* start of the last call */
-	uint32_t failures;	/* in a row */
-	bool synced;		/* a whole read has been completed */
-	bool reading;		/* a whole read is in progress */
+	uint64_t read_revision;	  /* at the first page of a whole read */
+	uint64_t last_success_ns; /* end of the last successful call */
+	uint64_t started_ns;	  /* start of the last call */
+	uint32_t failures;	  /* in a row */
+	bool synced;		  /* a whole read has been completed */
+	bool reading;		  /* a whole read is in progress */
 };
 
 /* Starts to read the table; returns KWB_ERR_MEMORY on failure. */
@@ -556,7 +556,7 @@
 /* Input of kwb_path_choose(). */
 struct kwb_path_input {
 	uint64_t direct_silence_ns; /* since the last answer without a peer */
-	/* Since the first probe that the store has not answered; 0: none. */
+	/* Since probing the direct path began, unanswered; 0: not probing. */
 	uint64_t probe_unanswered_ns;
 	uint64_t relay_silence_ns; /* since the last answer through a peer */
 	bool is_relayed;	   /* a peer is in use */
@@ -662,8 +662,8 @@
 	struct kwb_detour_probe direct_probe; /* of the direct path */
 	struct kwb_detour_probe relay_probe;  /* through the peer in use */
 	struct kwb_detour_probe search_probes[KWB_PATH_PARALLEL_PROBES];
-	uint32_t probes_left; /* of the current search */
-	/* When the first unanswered direct probe was sent; 0 for none. */
+	uint32_t probes_left; /* of this check, in a search */
+	/* Since when an answer to a direct probe is awaited; 0 for none. */
 	uint64_t probing_since_ns;
 };
 
--- a/src/peer/detour.c
+++ b/src/peer/detour.c
@@ -68,7 +68,7 @@
 	detour->on_change(detour->context);
 }
 
-/* Probes the store through the next peer, up to the limit of a search. */
+/* Probes the store through the next peer, up to the limit of one check. */
 static void
 search_probe_next(struct kwb_detour *detour, struct kwb_detour_probe *probe)
 {
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -65,8 +65,7 @@
 	    kwb_error_name(answer->error));
 }
 
-/* Removes the row of a node that is gone: it would use up a row of each read.
- */
+/* Removes the row of a node that is gone, as each read would include it. */
 static void
 row_remove(struct kwb_peers *peers, const struct kwb_row *row)
 {
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -19,8 +19,8 @@
 	struct kwb_relay *relay;
 	struct bufferevent *peer;
 	struct bufferevent *store;
-	bool is_closing; /* one side has closed; the other is written out first
-			  */
+	/* One side has closed; its last bytes are still to be sent on. */
+	bool is_closing;
 	TAILQ_ENTRY(kwb_relay_pair) entry;
 };
 
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -168,7 +168,7 @@
 
 	if (answer->error == 0) {
 		follower->failures = 0;
-		follower->answered_ns = kwb_clock_now_ns();
+		follower->last_success_ns = kwb_clock_now_ns();
 		if (follower->reading)
 			page_done(follower, answer);
 		else
@@ -266,5 +266,5 @@
 kwb_follower_is_current(const struct kwb_follower *follower, uint64_t age_ns)
 {
 	return follower->synced &&
-	    kwb_clock_now_ns() - follower->answered_ns <= age_ns;
+	    kwb_clock_now_ns() - follower->last_success_ns <= age_ns;
 }
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -45,8 +45,7 @@
 	uint64_t silence_ns = now_ns - watchdog->store->last_answer_ns;
 	uint64_t timeout_ns = silence_ns >= KWB_STORE_SILENT_NS
 	    ? KWB_STORE_WATCHDOG_NS
-	    : KWB_PROBE_TIMEOUT_NS; /* other calls are answered: it is just slow
-				     */
+	    : KWB_PROBE_TIMEOUT_NS; /* others are answered: it is slow */
 
 	(void)fd;
 	(void)what;
