--- a/src/store/store.c
+++ b/src/store/store.c
@@ -1,17 +1,17 @@
 /*
- * What all implementations of the store share: freshness, its clock, and the
- * building of transactions.
+ * Code that all implementations of the store share: when the store last
+ * answered, its clock, and building transactions.
  */
 #include <string.h>
 
 #include "kwb_node.h"
 
-#define PROBE_TABLE "leases" /* small, and always there */
+#define PROBE_TABLE "leases" /* a small table that always exists */
 
 void
 kwb_store_cancel(struct kwb_store *store, struct kwb_store_call *call)
 {
-	if (call->driver != NULL)
+	if (call->pending != NULL)
 		store->ops->cancel(store, call);
 }
 
@@ -24,7 +24,7 @@
 }
 
 bool
-kwb_store_is_answer(const struct kwb_store_answer *answer)
+kwb_store_has_answered(const struct kwb_store_answer *answer)
 {
 	return answer->error != KWB_ERR_STORE_REFUSED &&
 	    answer->error != KWB_ERR_STORE_UNKNOWN;
@@ -41,33 +41,33 @@
 }
 
 void
-kwb_store_note(struct kwb_store *store, const struct kwb_store_answer *answer,
-    bool is_relayed)
+kwb_store_record_answer(struct kwb_store *store,
+    const struct kwb_store_answer *answer, bool is_relayed)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	store->calls_count++;
-	if (!kwb_store_is_answer(answer)) {
-		if (store->failed_ns <= store->answered_ns)
+	if (!kwb_store_has_answered(answer)) {
+		if (store->last_failure_ns <= store->last_answer_ns)
 			kwb_log(KWB_LOG_WARN, "store",
 			    "event=dependency_lost error=%s",
 			    kwb_error_name(answer->error));
-		store->failed_ns = now_ns;
+		store->last_failure_ns = now_ns;
 		return;
 	}
-	if (store->failed_ns > store->answered_ns &&
-	    now_ns - store->answered_ns >= KWB_STORE_AWAY_NS)
-		store->returned_ns = now_ns;
-	if (store->failed_ns > store->answered_ns)
+	if (store->last_failure_ns > store->last_answer_ns &&
+	    now_ns - store->last_answer_ns >= KWB_STORE_AWAY_NS)
+		store->recovered_ns = now_ns;
+	if (store->last_failure_ns > store->last_answer_ns)
 		kwb_log(KWB_LOG_INFO, "store",
 		    "event=dependency_regained after_ms=%llu",
-		    (unsigned long long)((now_ns - store->answered_ns) /
+		    (unsigned long long)((now_ns - store->last_answer_ns) /
 			KWB_MS_NS));
-	store->answered_ns = now_ns;
+	store->last_answer_ns = now_ns;
 	if (is_relayed)
-		store->relay_answered_ns = now_ns;
+		store->relay_answer_ns = now_ns;
 	else
-		store->own_answered_ns = now_ns;
+		store->direct_answer_ns = now_ns;
 	if (answer->now_ms != 0)
 		store->clock_offset_ms = (int64_t)answer->now_ms -
 		    (int64_t)(kwb_boot_now_ns() / KWB_MS_NS);
@@ -76,14 +76,14 @@
 uint64_t
 kwb_store_now_ms(const struct kwb_store *store)
 {
-	if (store->answered_ns == 0)
+	if (store->last_answer_ns == 0)
 		return 0;
 	return (uint64_t)((int64_t)(kwb_boot_now_ns() / KWB_MS_NS) +
 	    store->clock_offset_ms);
 }
 
 static void
-row_set(struct kwb_tx_row *row, const char *table, const char *part,
+tx_row_set(struct kwb_tx_row *row, const char *table, const char *part,
     const char *key)
 {
 	memset(row, 0, sizeof(*row));
@@ -98,7 +98,7 @@
 {
 	struct kwb_tx_row *row = &tx->expect[tx->expect_count++];
 
-	row_set(row, table, part, key);
+	tx_row_set(row, table, part, key);
 	row->revision = revision;
 }
 
@@ -108,7 +108,7 @@
 {
 	struct kwb_tx_row *row = &tx->put[tx->put_count++];
 
-	row_set(row, table, part, key);
+	tx_row_set(row, table, part, key);
 	row->value = value;
 	row->value_bytes = value_bytes;
 }
@@ -117,5 +117,5 @@
 kwb_tx_remove(
     struct kwb_tx *tx, const char *table, const char *part, const char *key)
 {
-	row_set(&tx->remove[tx->remove_count++], table, part, key);
+	tx_row_set(&tx->remove[tx->remove_count++], table, part, key);
 }
