--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -100,51 +100,56 @@
 #define KWB_HEDGE_SPARE_PART 3 /* a third of the slots is left to others */
 
 /* Batches */
-#define KWB_ITEM_TTL_MS 30000		       /* when no route names one */
-#define KWB_ITEM_RETRY_NS (100 * KWB_MS_NS)    /* after an upstream's error */
-#define KWB_ITEM_SILENCE_NS (1500 * KWB_MS_NS) /* 40 times a usual pause */
-#define KWB_EVENT_SILENCE_NS (600 * KWB_MS_NS) /* below a load's 900 */
-#define KWB_FIRST_EVENT_NS (1000 * KWB_MS_NS)  /* with the prompt's read */
+#define KWB_ITEM_TTL_MS 30000		      /* when no route names one */
+#define KWB_ITEM_RETRY_NS (100 * KWB_MS_NS)   /* after an upstream's error */
+#define KWB_STREAM_IDLE_NS (1500 * KWB_MS_NS) /* 40 times a usual pause */
+#define KWB_STALL_NS (600 * KWB_MS_NS)	      /* below a load's 900 */
+#define KWB_STALL_FIRST_EVENT_NS (1000 * KWB_MS_NS) /* with the prompt's read  \
+						     */
 /* Order in an upstream's queue, 0 first; requests that name none have 5. */
 #define KWB_PRIORITY_CALLER 1
-#define KWB_PRIORITY_BEGUN 3
+#define KWB_PRIORITY_STARTED 3
 #define KWB_PRIORITY_NEW 5
-#define KWB_PRIORITY_SPARE 7
+#define KWB_PRIORITY_SURPLUS 7
 #define KWB_QUEUED_NS (250 * KWB_MS_NS) /* a first event comes in 100 */
 #define KWB_QUEUED_PACES 4 /* so many usual pauses, where that is more */
-#define KWB_QUEUED_KEEP_NS (600 * KWB_MS_NS) /* left alone after that */
-#define KWB_SILENCE_PACES 10 /* so many usual pauses, where that is more */
-#define KWB_MOVE_LOOK_NS (200 * KWB_MS_NS)  /* between looks for slow items */
+#define KWB_QUEUED_BACKOFF_NS (600 * KWB_MS_NS) /* left alone after that */
+#define KWB_STALL_PACES 10 /* so many usual pauses, where that is more */
+#define KWB_MOVE_CHECK_NS (200 * KWB_MS_NS) /* between looks for slow items */
 #define KWB_MOVES_MAX 4			    /* of one item */
-#define KWB_MOVE_LEAST_NS (300 * KWB_MS_NS) /* before it is moved again */
+#define KWB_MOVE_MIN_NS (300 * KWB_MS_NS)   /* before it is moved again */
 #define KWB_CHECKPOINT_NS (500 * KWB_MS_NS) /* between writes of texts */
-#define KWB_CHECKPOINT_LEAST 20		    /* events, a second of work */
+#define KWB_CHECKPOINT_MIN_EVENTS 20	    /* events, a second of work */
 #define KWB_CHECKPOINT_EVENTS 8 /* a text that has grown by so many */
-#define KWB_REWARD_SPARE_PART 3 /* a third of the slots is left to callers */
-#define KWB_REWARD_WAIT_NS (1000 * KWB_MS_NS)	/* for room, at most */
-#define KWB_REWARD_URGENT_NS (1500 * KWB_MS_NS) /* before its batch is due */
-#define KWB_SCORE_TIMEOUT_MS 1500		/* when no route names one */
-#define KWB_PUMP_NS (20 * KWB_MS_NS)	     /* between looks for free places */
+#define KWB_SCORE_SPARE_PART 3	/* a third of the slots is left to callers */
+#define KWB_SCORE_WAIT_NS (1000 * KWB_MS_NS)   /* for room, at most */
+#define KWB_SCORE_URGENT_NS (1500 * KWB_MS_NS) /* before its batch is due */
+#define KWB_SCORE_TIMEOUT_MS 1500	       /* when no route names one */
+#define KWB_DISPATCH_NS (20 * KWB_MS_NS)     /* between looks for free places */
 #define KWB_BATCH_RETRY_NS (100 * KWB_MS_NS) /* after a failed store call */
 #define KWB_TX_MAX_BYTES (400u << 10) /* of values; 1 MB as text at most */
 #define KWB_RESULTS_MAX 100	      /* results in one answer */
 #define KWB_RESULTS_MAX_BYTES (900u << 10)
-#define KWB_READ_POLL_NS (60 * KWB_MS_NS)   /* a reader's look for results */
-#define KWB_READ_RETRY_NS (120 * KWB_MS_NS) /* likewise, after a failure */
-#define KWB_MINDER_NS (400 * KWB_MS_NS)	    /* between looks at owners */
-#define KWB_BEAT_NS (400 * KWB_MS_NS)	    /* between beats of an owner */
-#define KWB_BEAT_READS 3 /* reads without a beat before a take-over */
-#define KWB_OWNER_SILENT_NS (1600 * KWB_MS_NS)	/* likewise, time */
-#define KWB_START_STORE_NS (2200 * KWB_MS_NS)	/* ends are known in 3 s */
-#define KWB_OWNER_ALIVE_NS (900 * KWB_MS_NS)	/* its last beat is so new */
-#define KWB_OWNER_STAY_NS (10000 * KWB_MS_NS)	/* beats on without batches */
-#define KWB_BEAT_FORGET_NS (600000 * KWB_MS_NS) /* a node gone for good */
-#define KWB_SWEEP_NS (1000 * KWB_MS_NS) /* between looks for old batches */
+#define KWB_READ_POLL_NS (60 * KWB_MS_NS)    /* a reader's look for results */
+#define KWB_READ_RETRY_NS (120 * KWB_MS_NS)  /* likewise, after a failure */
+#define KWB_OWNER_CHECK_NS (400 * KWB_MS_NS) /* between looks at owners */
+#define KWB_OWNER_HEARTBEAT_NS (400 * KWB_MS_NS) /* between beats of an owner  \
+						  */
+#define KWB_OWNER_EXPIRED_READS 3 /* reads without a beat before a take-over   \
+				   */
+#define KWB_OWNER_EXPIRED_NS (1600 * KWB_MS_NS)	     /* likewise, time */
+#define KWB_DISPATCH_STORE_AGE_NS (2200 * KWB_MS_NS) /* ends are known in 3 s  \
+						      */
+#define KWB_OWNER_RECENT_NS (900 * KWB_MS_NS)	 /* its last beat is so new */
+#define KWB_OWNER_LINGER_NS (10000 * KWB_MS_NS)	 /* beats on without batches */
+#define KWB_OWNER_FORGET_NS (600000 * KWB_MS_NS) /* a node gone for good */
+#define KWB_SWEEP_CHECK_NS                                                     \
+	(1000 * KWB_MS_NS) /* between looks for old batches */
 /* Claims of a whole core are spread over so long, of a tenth ten times that. */
 #define KWB_CLAIM_SPREAD_NS (50 * KWB_MS_NS)
 #define KWB_CLAIM_SPREAD_MAX_NS (600 * KWB_MS_NS)
-#define KWB_CLAIM_NODES 48	    /* nodes for which that spread is enough */
-#define KWB_OWNER_PROCESSOR_TIMES 2 /* so much larger nodes get the batches */
+#define KWB_CLAIM_SPREAD_NODES 48   /* nodes for which that spread is enough */
+#define KWB_OWNER_PROCESSOR_RATIO 2 /* so much larger nodes get the batches */
 #define KWB_CLAIMS_MAX 32 /* conditional writes of heads in progress */
 
 /* Nodes */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -998,7 +998,7 @@
 void kwb_batch_spec_finish(struct kwb_batch_spec *spec); /* frees it */
 
 /* Row that says that a batch exists, who runs it and whether it has ended. */
-struct kwb_batch_head {
+struct kwb_batch_record {
 	char id[KWB_KEY_MAX_BYTES];
 	char owner[KWB_NAME_MAX_BYTES]; /* node, "" when released */
 	uint64_t owner_incarnation;
@@ -1018,17 +1018,17 @@
 	uint64_t claim_ns; /* this node claims it then; 0 undecided */
 };
 
-int kwb_batch_head_parse(
-    struct kwb_batch_head *head, const struct kwb_row *row); /* from its row */
-int kwb_batch_head_print(const struct kwb_batch_head *head,
+int kwb_batch_record_parse(struct kwb_batch_record *record,
+    const struct kwb_row *row); /* from its row */
+int kwb_batch_record_serialize(const struct kwb_batch_record *record,
     struct kwb_buf *out); /* as the value of its row */
 
 /* What the order of items looks at; see kwb_item_rank_compare(). */
 struct kwb_item_rank {
 	uint32_t group_index; /* order of its group in the batch */
 	bool wanted; /* its group is one the trainer will likely wait for */
-	uint64_t length_hint; /* expected output tokens */
-	uint64_t made;	      /* events that are there already */
+	uint64_t length_hint;  /* expected output tokens */
+	uint64_t events_count; /* events that are there already */
 };
 
 int kwb_item_rank_compare(const struct kwb_item_rank *a,
@@ -1037,40 +1037,41 @@
 int32_t kwb_item_priority(const struct kwb_item_rank *rank); /* of its request
     at an upstream, 0 first; pure */
 
-/* What decides whether a generation goes on elsewhere; see kwb_move_wanted().
+/* What decides whether a generation goes on elsewhere; see
+ * kwb_move_is_worthwhile().
  */
 struct kwb_move_input {
 	uint64_t pace_ns;      /* between events, where it runs */
 	uint64_t best_pace_ns; /* at the fastest place that is free */
 	uint32_t moves;	       /* so far */
-	uint64_t since_ns;     /* it runs there */
+	uint64_t elapsed_ns;   /* it runs there */
 };
 
-bool kwb_move_wanted(const struct kwb_move_input *input); /* pure */
+bool kwb_move_is_worthwhile(const struct kwb_move_input *input); /* pure */
 
-/* What decides whether a generation has stopped; see kwb_item_is_silent(). */
-struct kwb_silence_input {
-	uint64_t since_ns; /* its last event, or its start */
-	uint64_t pace_ns;  /* usual time between events there, 0 unknown */
-	bool has_begun;	   /* an event has come from there */
-	bool is_loading;   /* its upstream changes weights */
+/* What decides whether a generation has stopped; see kwb_item_is_stalled(). */
+struct kwb_stall_input {
+	uint64_t elapsed_ns; /* its last event, or its start */
+	uint64_t pace_ns;    /* usual time between events there, 0 unknown */
+	bool has_begun;	     /* an event has come from there */
+	bool is_loading;     /* its upstream changes weights */
 };
 
-bool kwb_item_is_silent(const struct kwb_silence_input *input); /* pure */
+bool kwb_item_is_stalled(const struct kwb_stall_input *input); /* pure */
 bool kwb_item_is_queued(
-    const struct kwb_silence_input *input); /* it waits for a slot; pure */
+    const struct kwb_stall_input *input); /* it waits for a slot; pure */
 
-/* What decides whether a reward is asked for now; see kwb_reward_goes(). */
-struct kwb_reward_input {
-	bool has_place;	    /* an upstream has room beside that for callers */
+/* What decides whether a reward is asked for now; see kwb_score_can_start(). */
+struct kwb_score_input {
+	bool has_room;	    /* an upstream has room beside that for callers */
 	uint64_t waited_ns; /* since its text was whole */
 	uint64_t left_ns;   /* until its batch is due */
 };
 
-bool kwb_reward_goes(const struct kwb_reward_input *input); /* pure */
+bool kwb_score_can_start(const struct kwb_score_input *input); /* pure */
 
 /* A part of an item's text in the store: events first to last. */
-struct kwb_piece {
+struct kwb_text_chunk {
 	uint64_t text;	     /* which one it belongs to, never 0 */
 	uint64_t before;     /* the one that this text goes on from, or 0 */
 	uint64_t resumed_at; /* after this event of that one */
@@ -1078,8 +1079,9 @@
 	uint64_t last;
 };
 
-bool kwb_piece_joins(const struct kwb_piece *piece,
-    const struct kwb_piece *before); /* goes on where that one ends; pure */
+bool kwb_text_chunk_follows(const struct kwb_text_chunk *chunk,
+    const struct kwb_text_chunk
+	*before); /* goes on where that one ends; pure */
 
 /* All batches that this node knows of, and those it runs. */
 struct kwb_batch_env {
@@ -1092,11 +1094,11 @@
 };
 
 struct kwb_batch;
-struct kwb_read;
+struct kwb_batch_read;
 TAILQ_HEAD(kwb_batch_list, kwb_batch);
-TAILQ_HEAD(kwb_read_list, kwb_read);
+TAILQ_HEAD(kwb_batch_read_list, kwb_batch_read);
 
-struct kwb_node_beat {
+struct kwb_node_heartbeat {
 	char node[KWB_NAME_MAX_BYTES];
 	uint64_t revision;
 	uint64_t seen_ns;    /* boot time when that revision was first read */
@@ -1107,15 +1109,15 @@
 };
 
 /* Who runs a batch; all times are boot times; pure. */
-bool kwb_beat_is_alive(const struct kwb_node_beat *beat,
+bool kwb_heartbeat_is_recent(const struct kwb_node_heartbeat *heartbeat,
     uint64_t now_ns); /* new enough to be given a batch */
-bool kwb_beat_is_silent(const struct kwb_node_beat *beat,
+bool kwb_heartbeat_is_expired(const struct kwb_node_heartbeat *heartbeat,
     uint64_t now_ns); /* for so long that its batches are taken over */
-void kwb_beat_given(struct kwb_node_beat *beat,
+void kwb_heartbeat_note_assignment(struct kwb_node_heartbeat *heartbeat,
     uint64_t now_ns); /* the node has been given a batch */
-uint64_t kwb_claim_wait_ns(uint32_t processor_milli, uint32_t nodes,
+uint64_t kwb_claim_delay_ns(uint32_t processor_milli, uint32_t nodes,
     uint64_t random); /* before a node claims a batch without owner */
-bool kwb_owner_stays(uint32_t owner_milli,
+bool kwb_owner_is_kept(uint32_t owner_milli,
     uint32_t other_milli); /* the next batch goes to the last one's owner */
 
 enum kwb_sweep_step {
@@ -1124,101 +1126,105 @@
 	KWB_SWEEP_PARTIAL,
 	KWB_SWEEP_RESULTS,
 	KWB_SWEEP_OBJECT,
-	KWB_SWEEP_HEAD
+	KWB_SWEEP_RECORD
 };
 
 struct kwb_batches {
 	const struct kwb_batch_env *env;
 	struct kwb_follower follower; /* of the heads */
-	struct kwb_batch_head **heads;
-	uint32_t heads_count;
-	uint32_t heads_room;
+	struct kwb_batch_record **records;
+	uint32_t records_count;
+	uint32_t records_capacity;
 	struct kwb_batch_list running;
-	struct kwb_read_list reads;
-	struct event *pump;   /* starts items */
-	struct event *minder; /* takes over what has no living owner */
-	bool pump_armed;
-	uint64_t moved_ns;	    /* last look for items on slow upstreams */
-	bool leaving;		    /* starts and takes over nothing more */
-	struct kwb_store_call beat; /* own heartbeat */
-	struct kwb_store_call look; /* heartbeats of others */
-	struct kwb_node_beat *beats;
-	uint32_t beats_count;
-	uint64_t beat_ns;	     /* last own heartbeat */
-	uint64_t owned_ns;	     /* when this node last ran a batch */
+	struct kwb_batch_read_list reads;
+	struct event *dispatch_timer; /* starts items */
+	struct event *owner_timer;    /* takes over what has no living owner */
+	bool dispatch_armed;
+	uint64_t move_checked_ns; /* last look for items on slow upstreams */
+	bool handing_over;	  /* starts and takes over nothing more */
+	struct kwb_store_call heartbeat;       /* own heartbeat */
+	struct kwb_store_call heartbeats_read; /* heartbeats of others */
+	struct kwb_node_heartbeat *heartbeats;
+	uint32_t heartbeats_count;
+	uint64_t heartbeat_ns;	     /* last own heartbeat */
+	uint64_t last_owned_ns;	     /* when this node last ran a batch */
 	uint64_t changed_ns;	     /* when a head last changed */
-	uint32_t nodes;		     /* in the fleet, about; 0 unknown */
+	uint32_t fleet_nodes;	     /* in the fleet, about; 0 unknown */
 	struct kwb_store_call sweep; /* removes one old batch at a time */
 	enum kwb_sweep_step sweep_step;
-	struct kwb_batch_head sweep_head;
+	struct kwb_batch_record sweep_record;
 	uint32_t sweep_position;
-	char sweep_text[2 * KWB_KEY_MAX_BYTES + 32]; /* object dropped last */
-	uint64_t swept_ns;
-	struct kwb_store_call forget; /* removes rows of nodes long gone */
+	char sweep_dropped_object[2 * KWB_KEY_MAX_BYTES +
+	    32]; /* object dropped last */
+	uint64_t sweep_checked_ns;
+	struct kwb_store_call
+	    heartbeat_remove; /* removes rows of nodes long gone */
 };
 
 int kwb_batches_init(struct kwb_batches *batches,
-    const struct kwb_batch_env *env);		      /* follows the heads */
-void kwb_batches_finish(struct kwb_batches *batches); /* drops everything */
-void kwb_batches_kick(struct kwb_batches *batches);   /* looks for places */
-void kwb_batches_beat(
+    const struct kwb_batch_env *env);			/* follows the heads */
+void kwb_batches_finish(struct kwb_batches *batches);	/* drops everything */
+void kwb_batches_dispatch(struct kwb_batches *batches); /* looks for places */
+void kwb_batches_send_heartbeat(
     struct kwb_batches *batches); /* tells at once that this node lives */
-void kwb_batches_reconsider(
+void kwb_batches_rebalance(
     struct kwb_batches *batches); /* moves items off what got worse, too */
-void kwb_batches_leave(
+void kwb_batches_hand_over(
     struct kwb_batches *batches); /* hands all over to other nodes */
-bool kwb_batches_idle(
+bool kwb_batches_is_idle(
     const struct kwb_batches *batches); /* nothing is left to hand over */
-struct kwb_batch_head *kwb_batches_head(
+struct kwb_batch_record *kwb_batches_find_record(
     const struct kwb_batches *batches, const char *id); /* or NULL */
-const struct kwb_batch_head *kwb_batches_newest(
+const struct kwb_batch_record *kwb_batches_newest_record(
     const struct kwb_batches *batches,
     const char *model); /* accepted last for that model, or NULL */
 
 /* Accepts a submission: durable before it is answered, and only once. */
-enum kwb_accept_outcome {
+enum kwb_batch_accept_outcome {
 	KWB_ACCEPT_TAKEN,   /* durable, now or before */
 	KWB_ACCEPT_REFUSED, /* nothing is stored and nothing runs */
 	KWB_ACCEPT_UNKNOWN, /* may be stored */
 	KWB_ACCEPT_INVALID  /* can't be read */
 };
 
-struct kwb_accept {
-	void (*on_done)(struct kwb_accept *accept);
+struct kwb_batch_accept {
+	void (*on_done)(struct kwb_batch_accept *accept);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
-	struct kwb_batch_head head;
+	struct kwb_batch_record record;
 	struct kwb_batch_spec spec;
 	const char *body; /* as submitted; lives as long as the accept */
 	size_t body_bytes;
 	bool reading_back;
-	enum kwb_accept_outcome outcome;
+	enum kwb_batch_accept_outcome outcome;
 	const char *reason;
 };
 
-void kwb_accept_start(struct kwb_accept *accept);  /* on_done follows */
-void kwb_accept_finish(struct kwb_accept *accept); /* no callback after */
+void kwb_batch_accept_start(
+    struct kwb_batch_accept *accept); /* on_done follows */
+void kwb_batch_accept_finish(
+    struct kwb_batch_accept *accept); /* no callback after */
 
 /* Ends a batch. */
-struct kwb_end {
-	void (*on_done)(struct kwb_end *end);
+struct kwb_batch_end {
+	void (*on_done)(struct kwb_batch_end *end);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
 	struct event *timer;
-	struct kwb_batch_head head;
+	struct kwb_batch_record record;
 	uint64_t deadline_ns;
 	bool reading;
 	int error; /* 0, KWB_ERR_STORE_MISSING, or why it isn't certain */
 };
 
-void kwb_end_start(struct kwb_end *end);  /* on_done follows */
-void kwb_end_finish(struct kwb_end *end); /* no callback after */
+void kwb_batch_end_start(struct kwb_batch_end *end);  /* on_done follows */
+void kwb_batch_end_finish(struct kwb_batch_end *end); /* no callback after */
 
 /* Reads results, or the body of one item. */
-struct kwb_read {
-	void (*on_done)(struct kwb_read *read);
+struct kwb_batch_read {
+	void (*on_done)(struct kwb_batch_read *read);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
@@ -1230,16 +1236,16 @@
 	uint64_t deadline_ns;
 	uint32_t total;
 	uint32_t next;
-	bool head_read;
-	bool linked;
-	TAILQ_ENTRY(kwb_read) entry;
+	bool record_known;
+	bool in_list;
+	TAILQ_ENTRY(kwb_batch_read) entry;
 	/* outcome */
 	int error; /* 0, KWB_ERR_STORE_MISSING, or why it isn't certain */
 	struct kwb_buf answer; /* results as sent, or the body */
 };
 
-void kwb_read_start(struct kwb_read *read);  /* on_done follows */
-void kwb_read_finish(struct kwb_read *read); /* no callback after */
+void kwb_batch_read_start(struct kwb_batch_read *read);	 /* on_done follows */
+void kwb_batch_read_finish(struct kwb_batch_read *read); /* no callback after */
 
 /* ---- Weights: homes of models and orders ------------------------------------
  */
--- a/src/batch/head.c
+++ b/src/batch/head.c
@@ -30,7 +30,7 @@
 }
 
 static void
-copy(char *to, size_t room_bytes, const json_t *row, const char *name)
+copy_string(char *to, size_t room_bytes, const json_t *row, const char *name)
 {
 	const char *text = json_string_value(json_object_get(row, name));
 
@@ -38,54 +38,57 @@
 }
 
 static uint64_t
-number(const json_t *row, const char *name)
+get_number(const json_t *row, const char *name)
 {
 	return (uint64_t)json_integer_value(json_object_get(row, name));
 }
 
 int
-kwb_batch_head_parse(struct kwb_batch_head *head, const struct kwb_row *row)
+kwb_batch_record_parse(
+    struct kwb_batch_record *record, const struct kwb_row *row)
 {
 	json_t *value = json_loadb(row->value, row->value_bytes, 0, NULL);
 
-	memset(head, 0, sizeof(*head));
-	kwb_text_copy(head->id, sizeof(head->id), row->key);
-	head->revision = row->revision;
+	memset(record, 0, sizeof(*record));
+	kwb_text_copy(record->id, sizeof(record->id), row->key);
+	record->revision = row->revision;
 	if (!json_is_object(value)) {
 		json_decref(value);
 		return KWB_ERR_STORE_VALUE;
 	}
-	copy(head->owner, sizeof(head->owner), value, "owner");
-	copy(head->host, sizeof(head->host), value, "host");
-	copy(head->target, sizeof(head->target), value, "path");
-	copy(head->model, sizeof(head->model), value, "model");
-	head->owner_incarnation = number(value, "incarnation");
-	head->min_version = number(value, "min_version");
-	head->accepted_ms = number(value, "accepted_ms");
-	head->step = number(value, "step");
-	head->target_groups = (uint32_t)number(value, "target_groups");
-	head->tokens = number(value, "tokens");
-	head->total = (uint32_t)number(value, "total");
-	head->ended = json_is_true(json_object_get(value, "ended"));
-	head->listed = json_is_true(json_object_get(value, "listed"));
-	head->fresh = json_is_true(json_object_get(value, "fresh"));
+	copy_string(record->owner, sizeof(record->owner), value, "owner");
+	copy_string(record->host, sizeof(record->host), value, "host");
+	copy_string(record->target, sizeof(record->target), value, "path");
+	copy_string(record->model, sizeof(record->model), value, "model");
+	record->owner_incarnation = get_number(value, "incarnation");
+	record->min_version = get_number(value, "min_version");
+	record->accepted_ms = get_number(value, "accepted_ms");
+	record->step = get_number(value, "step");
+	record->target_groups = (uint32_t)get_number(value, "target_groups");
+	record->tokens = get_number(value, "tokens");
+	record->total = (uint32_t)get_number(value, "total");
+	record->ended = json_is_true(json_object_get(value, "ended"));
+	record->listed = json_is_true(json_object_get(value, "listed"));
+	record->fresh = json_is_true(json_object_get(value, "fresh"));
 	json_decref(value);
 	return 0;
 }
 
 int
-kwb_batch_head_print(const struct kwb_batch_head *head, struct kwb_buf *out)
+kwb_batch_record_serialize(
+    const struct kwb_batch_record *record, struct kwb_buf *out)
 {
 	json_t *value = json_pack(
 	    "{s:s, s:I, s:s, s:s, s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:b, s:b, s:b}",
-	    "owner", head->owner, "incarnation",
-	    (json_int_t)head->owner_incarnation, "host", head->host, "path",
-	    head->target, "model", head->model, "min_version",
-	    (json_int_t)head->min_version, "accepted_ms",
-	    (json_int_t)head->accepted_ms, "tokens", (json_int_t)head->tokens,
-	    "step", (json_int_t)head->step, "target_groups",
-	    (json_int_t)head->target_groups, "total", (json_int_t)head->total,
-	    "ended", head->ended, "listed", head->listed, "fresh", head->fresh);
+	    "owner", record->owner, "incarnation",
+	    (json_int_t)record->owner_incarnation, "host", record->host, "path",
+	    record->target, "model", record->model, "min_version",
+	    (json_int_t)record->min_version, "accepted_ms",
+	    (json_int_t)record->accepted_ms, "tokens",
+	    (json_int_t)record->tokens, "step", (json_int_t)record->step,
+	    "target_groups", (json_int_t)record->target_groups, "total",
+	    (json_int_t)record->total, "ended", record->ended, "listed",
+	    record->listed, "fresh", record->fresh);
 	char *text = json_dumps(value, JSON_COMPACT);
 	int code;
 
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -1,6 +1,6 @@
 /*
- * All batches that the store knows of, followed by every node; and the pump
- * that starts items of those that this node runs.
+ * All batches that the store knows of, followed by every node; and the
+ * dispatch_timer that starts items of those that this node runs.
  */
 #include <event2/event.h>
 #include <stdlib.h>
@@ -8,145 +8,150 @@
 
 #include "batch.h"
 
-struct kwb_batch_head *
-kwb_batches_head(const struct kwb_batches *batches, const char *id)
+struct kwb_batch_record *
+kwb_batches_find_record(const struct kwb_batches *batches, const char *id)
 {
 	uint32_t i;
 
-	for (i = batches->heads_count; i > 0; i--)
-		if (strcmp(batches->heads[i - 1]->id, id) == 0)
-			return batches->heads[i - 1];
+	for (i = batches->records_count; i > 0; i--)
+		if (strcmp(batches->records[i - 1]->id, id) == 0)
+			return batches->records[i - 1];
 	return NULL;
 }
 
-const struct kwb_batch_head *
-kwb_batches_newest(const struct kwb_batches *batches, const char *model)
+const struct kwb_batch_record *
+kwb_batches_newest_record(const struct kwb_batches *batches, const char *model)
 {
-	const struct kwb_batch_head *newest = NULL;
+	const struct kwb_batch_record *newest = NULL;
 	uint32_t i;
 
-	for (i = 0; i < batches->heads_count; i++)
-		if (strcmp(batches->heads[i]->model, model) == 0 &&
+	for (i = 0; i < batches->records_count; i++)
+		if (strcmp(batches->records[i]->model, model) == 0 &&
 		    (newest == NULL ||
-			batches->heads[i]->accepted_ms > newest->accepted_ms))
-			newest = batches->heads[i];
+			batches->records[i]->accepted_ms > newest->accepted_ms))
+			newest = batches->records[i];
 	return newest;
 }
 
 void
-heads_put(struct kwb_batches *batches, const struct kwb_batch_head *head)
+records_update(
+    struct kwb_batches *batches, const struct kwb_batch_record *record)
 {
-	struct kwb_batch_head *known = kwb_batches_head(batches, head->id);
-	uint32_t room = batches->heads_room ? batches->heads_room * 2 : 16;
-	struct kwb_batch_head **heads;
+	struct kwb_batch_record *existing =
+	    kwb_batches_find_record(batches, record->id);
+	uint32_t capacity =
+	    batches->records_capacity ? batches->records_capacity * 2 : 16;
+	struct kwb_batch_record **records;
 
-	if (known != NULL && known->revision >= head->revision)
+	if (existing != NULL && existing->revision >= record->revision)
 		return;
-	if (known == NULL || strcmp(known->owner, head->owner) != 0)
-		own_changed(batches, head);
-	if (known == NULL && batches->heads_count == batches->heads_room) {
-		heads = realloc(
-		    batches->heads, room * sizeof(struct kwb_batch_head *));
-		if (heads == NULL)
+	if (existing == NULL || strcmp(existing->owner, record->owner) != 0)
+		owner_note_assignment(batches, record);
+	if (existing == NULL &&
+	    batches->records_count == batches->records_capacity) {
+		records = realloc(batches->records,
+		    capacity * sizeof(struct kwb_batch_record *));
+		if (records == NULL)
 			return;
-		batches->heads = heads;
-		batches->heads_room = room;
+		batches->records = records;
+		batches->records_capacity = capacity;
 	}
-	if (known == NULL) {
-		known = malloc(sizeof(*known));
-		if (known == NULL)
+	if (existing == NULL) {
+		existing = malloc(sizeof(*existing));
+		if (existing == NULL)
 			return;
-		batches->heads[batches->heads_count++] = known;
+		batches->records[batches->records_count++] = existing;
 	}
-	*known = *head;
+	*existing = *record;
 	batches->changed_ns = kwb_clock_now_ns();
-	own_look(batches);
+	owner_check_soon(batches);
 }
 
 void
-head_write(
-    const struct kwb_batch_head *head, struct kwb_tx *tx, struct kwb_buf *value)
+record_add_to_tx(const struct kwb_batch_record *record, struct kwb_tx *tx,
+    struct kwb_buf *value)
 {
-	kwb_batch_head_print(head, value);
-	kwb_tx_expect(tx, TABLE_HEADS, "", head->id, head->revision);
-	kwb_tx_put(tx, TABLE_HEADS, "", head->id, kwb_buf_text(value),
+	kwb_batch_record_serialize(record, value);
+	kwb_tx_expect(tx, TABLE_RECORDS, "", record->id, record->revision);
+	kwb_tx_put(tx, TABLE_RECORDS, "", record->id, kwb_buf_text(value),
 	    value->used_bytes);
 }
 
 static void
-head_row(void *context, const struct kwb_row *row)
+on_record_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_batches *batches = context;
-	struct kwb_batch_head head;
+	struct kwb_batch_record record;
 	uint32_t i;
 
 	if (row->deleted) {
-		for (i = 0; i < batches->heads_count; i++)
-			if (strcmp(batches->heads[i]->id, row->key) == 0) {
-				free(batches->heads[i]);
-				batches->heads[i] =
-				    batches->heads[--batches->heads_count];
+		for (i = 0; i < batches->records_count; i++)
+			if (strcmp(batches->records[i]->id, row->key) == 0) {
+				free(batches->records[i]);
+				batches->records[i] =
+				    batches->records[--batches->records_count];
 				break;
 			}
-		own_look(batches);
+		owner_check_soon(batches);
 		return;
 	}
-	if (kwb_batch_head_parse(&head, row) != 0) {
+	if (kwb_batch_record_parse(&record, row) != 0) {
 		kwb_log(KWB_LOG_WARN, "batch",
 		    "event=head_unreadable batch=%s revision=%llu", row->key,
 		    (unsigned long long)row->revision);
 		return;
 	}
-	heads_put(batches, &head);
+	records_update(batches, &record);
 }
 
 static void
-pump_time(int fd, short what, void *context)
+on_dispatch_timer(int fd, short what, void *context)
 {
 	struct kwb_batches *batches = context;
 	struct kwb_batch *batch;
-	bool left = false;
+	bool has_waiting = false;
 
 	(void)fd;
 	(void)what;
-	batches->pump_armed = false;
-	if (batches->leaving)
+	batches->dispatch_armed = false;
+	if (batches->handing_over)
 		return;
 	/*
 	 * A node that the store has turned away for so long may have missed
 	 * the end of a batch: what runs goes on, nothing new starts.
 	 */
 	if (kwb_clock_now_ns() - batches->env->store->answered_ns <
-	    KWB_START_STORE_NS)
+	    KWB_DISPATCH_STORE_AGE_NS)
 		TAILQ_FOREACH (batch, &batches->running, entry)
-			left |= batch_pump(batch);
-	if (kwb_clock_now_ns() - batches->moved_ns >= KWB_MOVE_LOOK_NS) {
-		batches->moved_ns = kwb_clock_now_ns();
+			has_waiting |= batch_dispatch(batch);
+	if (kwb_clock_now_ns() - batches->move_checked_ns >=
+	    KWB_MOVE_CHECK_NS) {
+		batches->move_checked_ns = kwb_clock_now_ns();
 		TAILQ_FOREACH (batch, &batches->running, entry)
-			batch_move(batch);
+			batch_check_running(batch);
 		TAILQ_FOREACH (batch, &batches->running, entry)
 			batch_checkpoint(batch);
 	}
-	if (!batches->pump_armed && !TAILQ_EMPTY(&batches->running)) {
-		batches->pump_armed = true;
-		kwb_timer_at(batches->pump,
+	if (!batches->dispatch_armed && !TAILQ_EMPTY(&batches->running)) {
+		batches->dispatch_armed = true;
+		kwb_timer_at(batches->dispatch_timer,
 		    kwb_clock_now_ns() +
-			(left ? KWB_PUMP_NS : KWB_MOVE_LOOK_NS));
+			(has_waiting ? KWB_DISPATCH_NS : KWB_MOVE_CHECK_NS));
 	}
 }
 
 void
-kwb_batches_kick(struct kwb_batches *batches)
+kwb_batches_dispatch(struct kwb_batches *batches)
 {
-	batches->pump_armed = true;
-	kwb_timer_at(batches->pump, 0);
+	batches->dispatch_armed = true;
+	kwb_timer_at(batches->dispatch_timer, 0);
 }
 
 void
-kwb_batches_reconsider(struct kwb_batches *batches)
+kwb_batches_rebalance(struct kwb_batches *batches)
 {
-	batches->moved_ns = 0;
-	kwb_batches_kick(batches);
+	batches->move_checked_ns = 0;
+	kwb_batches_dispatch(batches);
 }
 
 int
@@ -158,14 +163,15 @@
 	batches->env = env;
 	TAILQ_INIT(&batches->running);
 	TAILQ_INIT(&batches->reads);
-	batches->pump = kwb_timer_new(env->base, pump_time, batches);
-	if (batches->pump == NULL)
+	batches->dispatch_timer =
+	    kwb_timer_new(env->base, on_dispatch_timer, batches);
+	if (batches->dispatch_timer == NULL)
 		return KWB_ERR_MEMORY;
-	code = own_init(batches);
+	code = owner_init(batches);
 	if (code != 0)
 		return code;
 	return kwb_follower_init(&batches->follower, env->base, env->store,
-	    TABLE_HEADS, head_row, NULL, batches);
+	    TABLE_RECORDS, on_record_row, NULL, batches);
 }
 
 void
@@ -176,25 +182,25 @@
 	kwb_follower_finish(&batches->follower);
 	while (!TAILQ_EMPTY(&batches->running))
 		batch_free(TAILQ_FIRST(&batches->running));
-	own_finish(batches);
-	event_free(batches->pump);
-	for (i = 0; i < batches->heads_count; i++)
-		free(batches->heads[i]);
-	free(batches->heads);
+	owner_finish(batches);
+	event_free(batches->dispatch_timer);
+	for (i = 0; i < batches->records_count; i++)
+		free(batches->records[i]);
+	free(batches->records);
 }
 
 void
-kwb_batches_leave(struct kwb_batches *batches)
+kwb_batches_hand_over(struct kwb_batches *batches)
 {
 	struct kwb_batch *batch;
 
-	batches->leaving = true;
+	batches->handing_over = true;
 	TAILQ_FOREACH (batch, &batches->running, entry)
-		batch_leave(batch);
+		batch_hand_over(batch);
 }
 
 bool
-kwb_batches_idle(const struct kwb_batches *batches)
+kwb_batches_is_idle(const struct kwb_batches *batches)
 {
 	return TAILQ_EMPTY(&batches->running);
 }
--- a/src/batch/item.c
+++ b/src/batch/item.c
@@ -15,8 +15,8 @@
 {
 	if (a->wanted != b->wanted)
 		return a->wanted ? -1 : 1;
-	if ((a->made > 0) != (b->made > 0))
-		return a->made > 0 ? -1 : 1;
+	if ((a->events_count > 0) != (b->events_count > 0))
+		return a->events_count > 0 ? -1 : 1;
 	if (a->length_hint != b->length_hint)
 		return a->length_hint > b->length_hint ? -1 : 1;
 	if (a->group_index != b->group_index)
@@ -34,8 +34,8 @@
 kwb_item_priority(const struct kwb_item_rank *rank)
 {
 	if (!rank->wanted)
-		return KWB_PRIORITY_SPARE;
-	return rank->made > 0 ? KWB_PRIORITY_BEGUN : KWB_PRIORITY_NEW;
+		return KWB_PRIORITY_SURPLUS;
+	return rank->events_count > 0 ? KWB_PRIORITY_STARTED : KWB_PRIORITY_NEW;
 }
 
 /*
@@ -44,10 +44,10 @@
  * last item of its groups.
  */
 bool
-kwb_move_wanted(const struct kwb_move_input *input)
+kwb_move_is_worthwhile(const struct kwb_move_input *input)
 {
 	return input->best_pace_ns != 0 && input->moves < KWB_MOVES_MAX &&
-	    input->since_ns >= KWB_MOVE_LEAST_NS &&
+	    input->elapsed_ns >= KWB_MOVE_MIN_NS &&
 	    input->pace_ns * 10 > input->best_pace_ns * 17;
 }
 
@@ -57,17 +57,17 @@
  * gap is an upstream that has stopped, and its connection may stay open.
  */
 bool
-kwb_item_is_silent(const struct kwb_silence_input *input)
+kwb_item_is_stalled(const struct kwb_stall_input *input)
 {
-	uint64_t limit_ns = KWB_EVENT_SILENCE_NS;
+	uint64_t limit_ns = KWB_STALL_NS;
 
 	if (input->is_loading)
 		return false;
 	if (!input->has_begun)
-		limit_ns = KWB_FIRST_EVENT_NS;
-	if (input->pace_ns * KWB_SILENCE_PACES > limit_ns)
-		limit_ns = input->pace_ns * KWB_SILENCE_PACES;
-	return input->since_ns >= limit_ns;
+		limit_ns = KWB_STALL_FIRST_EVENT_NS;
+	if (input->pace_ns * KWB_STALL_PACES > limit_ns)
+		limit_ns = input->pace_ns * KWB_STALL_PACES;
+	return input->elapsed_ns >= limit_ns;
 }
 
 /*
@@ -77,13 +77,13 @@
  * yet.
  */
 bool
-kwb_item_is_queued(const struct kwb_silence_input *input)
+kwb_item_is_queued(const struct kwb_stall_input *input)
 {
 	uint64_t limit_ns = input->pace_ns * KWB_QUEUED_PACES;
 
 	if (input->is_loading || input->has_begun)
 		return false;
-	return input->since_ns >=
+	return input->elapsed_ns >=
 	    (limit_ns > KWB_QUEUED_NS ? limit_ns : KWB_QUEUED_NS);
 }
 
@@ -94,10 +94,10 @@
  * own step is near its end.
  */
 bool
-kwb_reward_goes(const struct kwb_reward_input *input)
+kwb_score_can_start(const struct kwb_score_input *input)
 {
-	return input->has_place || input->waited_ns >= KWB_REWARD_WAIT_NS ||
-	    input->left_ns <= KWB_REWARD_URGENT_NS;
+	return input->has_room || input->waited_ns >= KWB_SCORE_WAIT_NS ||
+	    input->left_ns <= KWB_SCORE_URGENT_NS;
 }
 
 /*
@@ -105,12 +105,13 @@
  * from events of the other, but where it was resumed.
  */
 bool
-kwb_piece_joins(const struct kwb_piece *piece, const struct kwb_piece *before)
+kwb_text_chunk_follows(
+    const struct kwb_text_chunk *chunk, const struct kwb_text_chunk *before)
 {
-	if (piece->first != before->last + 1)
+	if (chunk->first != before->last + 1)
 		return false;
-	if (piece->text == before->text)
+	if (chunk->text == before->text)
 		return true;
-	return piece->before == before->text &&
-	    piece->resumed_at == before->last;
+	return chunk->before == before->text &&
+	    chunk->resumed_at == before->last;
 }
--- a/src/batch/list.c
+++ b/src/batch/list.c
@@ -24,7 +24,7 @@
     struct kwb_store_call *call, const struct kwb_store_answer *answer);
 
 static int
-result_value(const struct item_run *run, struct kwb_buf *value)
+format_result(const struct item_run *run, struct kwb_buf *value)
 {
 	bool completed = run->result == KWB_ITEM_COMPLETED;
 	struct kwb_result result = {.id = run->item->id,
@@ -40,65 +40,67 @@
 }
 
 static void
-text_name(const struct item_run *run, char *name)
+result_object_name(const struct item_run *run, char *name)
 {
 	snprintf(name, OBJECT_NAME_BYTES, "text-%s-%s-%llu",
-	    run->batch->head.id, run->item->id,
+	    run->batch->record.id, run->item->id,
 	    (unsigned long long)run->batch->batches->env->incarnation);
 }
 
 static void
-text_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+result_object_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
 
 	if (answer->error == 0 || answer->error == KWB_ERR_STORE_CONFLICT) {
-		batch->text_run->in_object = true;
-		batch_list(batch);
+		batch->result_object_run->result_in_object = true;
+		batch_list_results(batch);
 		return;
 	}
 	kwb_log(KWB_LOG_WARN, "batch",
-	    "event=text_not_written batch=%s item=%s error=%s", batch->head.id,
-	    batch->text_run->item->id, kwb_error_name(answer->error));
+	    "event=text_not_written batch=%s item=%s error=%s",
+	    batch->record.id, batch->result_object_run->item->id,
+	    kwb_error_name(answer->error));
 }
 
 /* A result that no row can hold lies in an object, before it is listed. */
 static void
-text_write(struct item_run *run, const struct kwb_buf *value)
+result_object_put(struct item_run *run, const struct kwb_buf *value)
 {
 	struct kwb_batch *batch = run->batch;
 	struct kwb_store *store = batch->batches->env->store;
 	char name[OBJECT_NAME_BYTES];
 
-	if (batch->text_call.driver != NULL)
+	if (batch->result_object_call.driver != NULL)
 		return;
-	text_name(run, name);
-	batch->text_run = run;
-	batch->text_call.context = batch;
-	batch->text_call.on_done = text_answer;
+	result_object_name(run, name);
+	batch->result_object_run = run;
+	batch->result_object_call.context = batch;
+	batch->result_object_call.on_done = result_object_answer;
 	if (store->ops->object_put(store, name, value->data, value->used_bytes,
-		&batch->text_call) != 0)
+		&batch->result_object_call) != 0)
 		kwb_log(KWB_LOG_WARN, "batch",
 		    "event=text_not_written batch=%s item=%s error=not_sent",
-		    batch->head.id, run->item->id);
+		    batch->record.id, run->item->id);
 }
 
 /* False when the result has to wait until its object is there. */
 static bool
-value_fits(struct item_run *run, struct kwb_buf *value)
+value_is_ready(struct item_run *run, struct kwb_buf *value)
 {
 	uint32_t row_bytes = run->batch->batches->env->settings->row_max_bytes;
 	char name[OBJECT_NAME_BYTES];
 
 	if (value->used_bytes < row_bytes - row_bytes / 16)
 		return true;
-	if (!run->in_object) {
-		text_write(run, value);
+	if (!run->result_in_object) {
+		result_object_put(run, value);
 		return false;
 	}
-	text_name(run, name);
+	result_object_name(run, name);
 	value->used_bytes = 0;
-	return kwb_buf_printf(value, "%c%s", OBJECT_MARK, name) == 0;
+	return kwb_buf_printf(value, "%c%s", OBJECT_PREFIX, name) == 0;
 }
 
 static bool
@@ -111,13 +113,13 @@
 	char *done = listing->done[at];
 
 	kwb_buf_init(value);
-	if (result_value(run, value) != 0) {
+	if (format_result(run, value) != 0) {
 		kwb_log(KWB_LOG_ERROR, "batch",
 		    "event=result_unwritable batch=%s item=%s bytes=%zu",
-		    batch->head.id, run->item->id, run->text.used_bytes);
+		    batch->record.id, run->item->id, run->text.used_bytes);
 		return false;
 	}
-	if (!value_fits(run, value)) {
+	if (!value_is_ready(run, value)) {
 		kwb_buf_finish(value);
 		return true;
 	}
@@ -129,23 +131,24 @@
 	listing->count++;
 	snprintf(position, sizeof(listing->positions[at]), "%0*u",
 	    POSITION_DIGITS, batch->listed + at);
-	kwb_tx_expect(&listing->tx, TABLE_RESULTS, batch->head.id, position, 0);
 	kwb_tx_expect(
-	    &listing->tx, TABLE_DONE, batch->head.id, run->item->id, 0);
-	kwb_tx_put(&listing->tx, TABLE_RESULTS, batch->head.id, position,
+	    &listing->tx, TABLE_RESULTS, batch->record.id, position, 0);
+	kwb_tx_expect(
+	    &listing->tx, TABLE_DONE, batch->record.id, run->item->id, 0);
+	kwb_tx_put(&listing->tx, TABLE_RESULTS, batch->record.id, position,
 	    value->data, value->used_bytes);
 	/* The item's row names the object, too, for the sweep to find. */
 	snprintf(done, sizeof(listing->done[at]), "%0*u%s%s", POSITION_DIGITS,
-	    batch->listed + at, run->in_object ? " " : "",
-	    run->in_object ? value->data : "");
-	kwb_tx_put(&listing->tx, TABLE_DONE, batch->head.id, run->item->id,
+	    batch->listed + at, run->result_in_object ? " " : "",
+	    run->result_in_object ? value->data : "");
+	kwb_tx_put(&listing->tx, TABLE_DONE, batch->record.id, run->item->id,
 	    done, strlen(done));
 	run->state = ITEM_LISTING;
 	return true;
 }
 
 void
-batch_list(struct kwb_batch *batch)
+batch_list_results(struct kwb_batch *batch)
 {
 	static struct listing listing;
 	struct kwb_store *store = batch->batches->env->store;
@@ -176,15 +179,16 @@
 	}
 }
 
-/* All items have a result: no other node needs to look after the batch. */
+/* All items have a result: no other node needs to heartbeats_read after the
+ * batch. */
 void
-batch_listed(struct kwb_batch *batch)
+batch_mark_complete(struct kwb_batch *batch)
 {
-	batch->head.listed = true;
+	batch->record.listed = true;
 	batch->closing = true;
 	kwb_log(KWB_LOG_INFO, "batch", "event=all_listed batch=%s items=%u",
-	    batch->head.id, batch->spec.items_count);
-	own_look(batch->batches);
+	    batch->record.id, batch->spec.items_count);
+	owner_check_soon(batch->batches);
 }
 
 static void
@@ -196,8 +200,8 @@
 	batch->listing = false;
 	if (answer->error != 0) {
 		kwb_log(KWB_LOG_INFO, "batch",
-		    "event=listing_in_doubt batch=%s error=%s", batch->head.id,
-		    kwb_error_name(answer->error));
+		    "event=listing_in_doubt batch=%s error=%s",
+		    batch->record.id, kwb_error_name(answer->error));
 		batch_reconcile(batch);
 		return;
 	}
@@ -208,11 +212,11 @@
 		batch->listed++;
 		run_finish(&batch->runs[i]);
 	}
-	reads_wake(batch->batches, batch->head.id);
+	reads_wake(batch->batches, batch->record.id);
 	if (batch->listed == batch->spec.items_count)
-		batch_listed(batch);
+		batch_mark_complete(batch);
 	else
-		batch_list(batch);
+		batch_list_results(batch);
 }
 
 static void
@@ -223,7 +227,7 @@
 	uint32_t i;
 
 	if (answer->error != 0) {
-		batch->loading_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
+		batch->load_retry_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
 		return;
 	}
 	batch_mark_listed(batch, answer);
@@ -234,9 +238,9 @@
 		if (batch->runs[i].state == ITEM_LISTING)
 			batch->runs[i].state = ITEM_READY;
 	if (batch->listed == batch->spec.items_count)
-		batch_listed(batch);
+		batch_mark_complete(batch);
 	else
-		batch_list(batch);
+		batch_list_results(batch);
 }
 
 /*
@@ -247,12 +251,13 @@
 batch_reconcile(struct kwb_batch *batch)
 {
 	struct kwb_store *store = batch->batches->env->store;
-	struct kwb_range range = {.table = TABLE_DONE, .part = batch->head.id};
+	struct kwb_range range = {
+	    .table = TABLE_DONE, .part = batch->record.id};
 
-	batch->loading_ns = 0;
+	batch->load_retry_ns = 0;
 	batch->in_doubt = true;
 	batch->call.context = batch;
 	batch->call.on_done = reconcile_answer;
 	if (store->ops->range(store, &range, &batch->call) != 0)
-		batch->loading_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
+		batch->load_retry_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
 }
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -8,10 +8,10 @@
 
 #include "batch.h"
 
-static void load_done(struct kwb_batch *batch, struct kwb_range *range);
+static void load_range(struct kwb_batch *batch, struct kwb_range *range);
 
 void
-object_name(char *name, size_t room_bytes, const char *batch)
+batch_object_name(char *name, size_t room_bytes, const char *batch)
 {
 	snprintf(name, room_bytes, "batch-%s", batch);
 }
@@ -22,13 +22,13 @@
 	struct kwb_batch *batch;
 
 	TAILQ_FOREACH (batch, &batches->running, entry)
-		if (strcmp(batch->head.id, id) == 0)
+		if (strcmp(batch->record.id, id) == 0)
 			return batch;
 	return NULL;
 }
 
 struct kwb_batch *
-batch_new(struct kwb_batches *batches, const struct kwb_batch_head *head)
+batch_new(struct kwb_batches *batches, const struct kwb_batch_record *record)
 {
 	struct kwb_batch *batch = calloc(1, sizeof(*batch));
 	struct kwb_batch *later;
@@ -36,9 +36,9 @@
 	if (batch == NULL)
 		return NULL;
 	batch->batches = batches;
-	batch->head = *head;
+	batch->record = *record;
 	TAILQ_FOREACH (later, &batches->running, entry)
-		if (later->head.accepted_ms > head->accepted_ms)
+		if (later->record.accepted_ms > record->accepted_ms)
 			break;
 	if (later != NULL)
 		TAILQ_INSERT_BEFORE(later, batch, entry);
@@ -53,8 +53,9 @@
 	uint32_t i;
 
 	kwb_store_cancel(batch->batches->env->store, &batch->call);
-	kwb_store_cancel(batch->batches->env->store, &batch->checkpoint);
-	kwb_store_cancel(batch->batches->env->store, &batch->text_call);
+	kwb_store_cancel(batch->batches->env->store, &batch->checkpoint_call);
+	kwb_store_cancel(
+	    batch->batches->env->store, &batch->result_object_call);
 	for (i = 0; batch->runs != NULL && i < batch->spec.items_count; i++)
 		run_finish(&batch->runs[i]);
 	TAILQ_REMOVE(&batch->batches->running, batch, entry);
@@ -65,7 +66,7 @@
 }
 
 static uint32_t
-group_of(struct kwb_batch *batch, const char *name)
+group_find_or_add(struct kwb_batch *batch, const char *name)
 {
 	uint32_t i;
 
@@ -79,14 +80,14 @@
 
 /*
  * A trainer waits for some of its groups, whichever are whole first, but
- * always for those that it carried over, which come first. Of the others the
- * groups with the longest items are the ones it will likely not wait for.
+ * always for those that it carried_over over, which come first. Of the others
+ * the groups with the longest items are the ones it will likely not wait for.
  */
 static void
-mark_spares(struct kwb_batch *batch)
+mark_surplus_groups(struct kwb_batch *batch)
 {
-	uint32_t carried = batch->spec.target_groups / 2;
-	uint32_t spares = batch->groups_count > batch->spec.target_groups
+	uint32_t carried_over = batch->spec.target_groups / 2;
+	uint32_t surplus_count = batch->groups_count > batch->spec.target_groups
 	    ? batch->groups_count - batch->spec.target_groups
 	    : 0;
 	struct batch_group *longest;
@@ -94,17 +95,17 @@
 
 	if (batch->spec.target_groups == 0)
 		return;
-	for (; spares > 0; spares--) {
+	for (; surplus_count > 0; surplus_count--) {
 		longest = NULL;
-		for (i = carried; i < batch->groups_count; i++)
-			if (!batch->groups[i].spare &&
+		for (i = carried_over; i < batch->groups_count; i++)
+			if (!batch->groups[i].surplus &&
 			    (longest == NULL ||
 				batch->groups[i].longest_hint >
 				    longest->longest_hint))
 				longest = &batch->groups[i];
 		if (longest == NULL)
 			return;
-		longest->spare = true;
+		longest->surplus = true;
 	}
 }
 
@@ -124,12 +125,12 @@
 		batch->runs[i].batch = batch;
 		batch->runs[i].item = &batch->spec.items[i];
 		batch->runs[i].group =
-		    group_of(batch, batch->spec.items[i].group);
+		    group_find_or_add(batch, batch->spec.items[i].group);
 		group = &batch->groups[batch->runs[i].group];
 		if (batch->spec.items[i].length_hint > group->longest_hint)
 			group->longest_hint = batch->spec.items[i].length_hint;
 	}
-	mark_spares(batch);
+	mark_surplus_groups(batch);
 	return 0;
 }
 
@@ -137,12 +138,12 @@
 load_failed(struct kwb_batch *batch, int error)
 {
 	kwb_log(KWB_LOG_WARN, "batch", "event=load_failed batch=%s error=%s",
-	    batch->head.id, kwb_error_name(error));
-	batch->loading_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
+	    batch->record.id, kwb_error_name(error));
+	batch->load_retry_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
 }
 
 struct item_run *
-batch_run(struct kwb_batch *batch, const char *item, size_t item_bytes)
+batch_find_run(struct kwb_batch *batch, const char *item, size_t item_bytes)
 {
 	const char *id;
 	uint32_t i;
@@ -157,7 +158,7 @@
 }
 
 static void
-partials_answer(
+chunks_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -169,7 +170,7 @@
 		return;
 	}
 	for (i = 0; i < answer->rows_count; i++)
-		partial_read(batch, &answer->rows[i]);
+		chunk_restore(batch, &answer->rows[i]);
 	if (batch_read_more(batch, TABLE_PARTIAL, answer))
 		return;
 	for (i = 0; i < batch->spec.items_count; i++)
@@ -177,10 +178,10 @@
 	batch->loaded = true;
 	kwb_log(KWB_LOG_INFO, "batch",
 	    "event=loaded batch=%s items=%u listed=%u partial=%u",
-	    batch->head.id, batch->spec.items_count, batch->listed, resumed);
+	    batch->record.id, batch->spec.items_count, batch->listed, resumed);
 	if (batch->listed == batch->spec.items_count)
-		batch_listed(batch);
-	kwb_batches_kick(batch->batches);
+		batch_mark_complete(batch);
+	kwb_batches_dispatch(batch->batches);
 }
 
 /* Reads the next rows of a table; the callback is the same. */
@@ -191,14 +192,14 @@
 	struct kwb_store *store = batch->batches->env->store;
 	char from[2 * KWB_KEY_MAX_BYTES];
 	struct kwb_range range = {
-	    .table = table, .part = batch->head.id, .from = from};
+	    .table = table, .part = batch->record.id, .from = from};
 
 	if (!answer->more || answer->rows_count == 0)
 		return false;
 	snprintf(from, sizeof(from), "%s\x01",
 	    answer->rows[answer->rows_count - 1].key);
 	if (store->ops->range(store, &range, &batch->call) != 0)
-		batch->loading_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
+		batch->load_retry_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
 	return true;
 }
 
@@ -211,7 +212,7 @@
 	uint32_t i;
 
 	for (i = 0; i < answer->rows_count; i++) {
-		run = batch_run(
+		run = batch_find_run(
 		    batch, answer->rows[i].key, strlen(answer->rows[i].key));
 		if (run == NULL || run->state == ITEM_LISTED)
 			continue;
@@ -222,11 +223,12 @@
 }
 
 static void
-done_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+done_rows_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
 	struct kwb_range range = {
-	    .table = TABLE_PARTIAL, .part = batch->head.id};
+	    .table = TABLE_PARTIAL, .part = batch->record.id};
 
 	if (answer->error != 0) {
 		load_failed(batch, answer->error);
@@ -235,12 +237,12 @@
 	batch_mark_listed(batch, answer);
 	if (batch_read_more(batch, TABLE_DONE, answer))
 		return;
-	call->on_done = partials_answer;
-	load_done(batch, &range);
+	call->on_done = chunks_answer;
+	load_range(batch, &range);
 }
 
 static void
-load_done(struct kwb_batch *batch, struct kwb_range *range)
+load_range(struct kwb_batch *batch, struct kwb_range *range)
 {
 	struct kwb_store *store = batch->batches->env->store;
 	int code = store->ops->range(store, range, &batch->call);
@@ -251,22 +253,23 @@
 
 /* From now on there may be results of it, should it be loaded again. */
 void
-batch_begun(struct kwb_batch *batch)
+batch_mark_started(struct kwb_batch *batch)
 {
-	struct kwb_batch_head *known =
-	    kwb_batches_head(batch->batches, batch->head.id);
+	struct kwb_batch_record *known =
+	    kwb_batches_find_record(batch->batches, batch->record.id);
 
-	batch->head.fresh = false;
+	batch->record.fresh = false;
 	if (known != NULL)
 		known->fresh = false;
 }
 
 static void
-object_answer(
+submission_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
-	struct kwb_range range = {.table = TABLE_DONE, .part = batch->head.id};
+	struct kwb_range range = {
+	    .table = TABLE_DONE, .part = batch->record.id};
 	struct kwb_batch_spec spec;
 	int code = answer->error;
 
@@ -280,33 +283,34 @@
 		load_failed(batch, code);
 		return;
 	}
-	if (batch->head.fresh) {
-		batch_begun(batch);
+	if (batch->record.fresh) {
+		batch_mark_started(batch);
 		batch->loaded = true;
-		kwb_batches_kick(batch->batches);
+		kwb_batches_dispatch(batch->batches);
 		return;
 	}
-	call->on_done = done_answer;
-	load_done(batch, &range);
+	call->on_done = done_rows_answer;
+	load_range(batch, &range);
 }
 
 void
 batch_load(struct kwb_batch *batch)
 {
 	struct kwb_store *store = batch->batches->env->store;
-	struct kwb_range range = {.table = TABLE_DONE, .part = batch->head.id};
+	struct kwb_range range = {
+	    .table = TABLE_DONE, .part = batch->record.id};
 	char name[KWB_KEY_MAX_BYTES + 8];
 	int code;
 
-	batch->loading_ns = 0;
+	batch->load_retry_ns = 0;
 	batch->call.context = batch;
 	if (batch->runs != NULL) {
-		batch->call.on_done = done_answer;
-		load_done(batch, &range);
+		batch->call.on_done = done_rows_answer;
+		load_range(batch, &range);
 		return;
 	}
-	object_name(name, sizeof(name), batch->head.id);
-	batch->call.on_done = object_answer;
+	batch_object_name(name, sizeof(name), batch->record.id);
+	batch->call.on_done = submission_answer;
 	code = store->ops->object_get(store, name, &batch->call);
 	if (code != 0)
 		load_failed(batch, code);
--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -1,8 +1,8 @@
 /*
- * Who runs which batch. The head's row names its owner; a node beats in a row
- * of its own while it owns any. A batch whose owner has not beaten for a while,
- * or has let go of it, is taken over by a conditional write, first come first
- * served. Two owners for a moment cost work, never a doubled result.
+ * Who runs which batch. The record's row names its owner; a node heartbeats in
+ * a row of its own while it owns any. A batch whose owner has not beaten for a
+ * while, or has let go of it, is taken over by a conditional write, first come
+ * first served. Two owners for a moment cost work, never a doubled result.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -14,34 +14,34 @@
 struct claim {
 	struct kwb_store_call call;
 	struct kwb_batches *batches;
-	struct kwb_batch_head head;
+	struct kwb_batch_record record;
 	bool open;
 };
 
 static struct claim claims[KWB_CLAIMS_MAX];
 
 bool
-own_is_mine(
-    const struct kwb_batches *batches, const struct kwb_batch_head *head)
+owner_is_self(
+    const struct kwb_batches *batches, const struct kwb_batch_record *record)
 {
-	return strcmp(head->owner, batches->env->settings->node) == 0 &&
-	    head->owner_incarnation == batches->env->incarnation;
+	return strcmp(record->owner, batches->env->settings->node) == 0 &&
+	    record->owner_incarnation == batches->env->incarnation;
 }
 
-static struct kwb_node_beat *
-beat_find(const struct kwb_batches *batches, const char *node)
+static struct kwb_node_heartbeat *
+heartbeat_find(const struct kwb_batches *batches, const char *node)
 {
 	uint32_t i;
 
-	for (i = 0; i < batches->beats_count; i++)
-		if (strcmp(batches->beats[i].node, node) == 0)
-			return &batches->beats[i];
+	for (i = 0; i < batches->heartbeats_count; i++)
+		if (strcmp(batches->heartbeats[i].node, node) == 0)
+			return &batches->heartbeats[i];
 	return NULL;
 }
 
-/* From a beat's value: incarnation and thousandths of a core. */
+/* From a heartbeat's value: incarnation and thousandths of a core. */
 static uint32_t
-processor_of(const char *value)
+parse_processor_milli(const char *value)
 {
 	unsigned processor = 0;
 
@@ -51,80 +51,86 @@
 }
 
 static void
-beat_note(struct kwb_batches *batches, const char *node, uint64_t revision,
-    const char *value)
+heartbeat_update(struct kwb_batches *batches, const char *node,
+    uint64_t revision, const char *value)
 {
-	struct kwb_node_beat *beat = beat_find(batches, node);
-	struct kwb_node_beat *beats;
+	struct kwb_node_heartbeat *heartbeat = heartbeat_find(batches, node);
+	struct kwb_node_heartbeat *heartbeats;
 
-	if (beat == NULL) {
-		beats = realloc(batches->beats,
-		    (batches->beats_count + 1) * sizeof(*beats));
-		if (beats == NULL)
+	if (heartbeat == NULL) {
+		heartbeats = realloc(batches->heartbeats,
+		    (batches->heartbeats_count + 1) * sizeof(*heartbeats));
+		if (heartbeats == NULL)
 			return;
-		batches->beats = beats;
-		beat = &beats[batches->beats_count++];
-		memset(beat, 0, sizeof(*beat));
-		kwb_text_copy(beat->node, sizeof(beat->node), node);
-		beat->seen_ns = kwb_boot_now_ns();
-		beat->changed_ns = beat->seen_ns;
-		beat->revision = revision;
-		beat->processor_milli = processor_of(value);
+		batches->heartbeats = heartbeats;
+		heartbeat = &heartbeats[batches->heartbeats_count++];
+		memset(heartbeat, 0, sizeof(*heartbeat));
+		kwb_text_copy(heartbeat->node, sizeof(heartbeat->node), node);
+		heartbeat->seen_ns = kwb_boot_now_ns();
+		heartbeat->changed_ns = heartbeat->seen_ns;
+		heartbeat->revision = revision;
+		heartbeat->processor_milli = parse_processor_milli(value);
 		return;
 	}
-	beat->reads++;
-	if (beat->revision == revision)
+	heartbeat->reads++;
+	if (heartbeat->revision == revision)
 		return;
-	beat->revision = revision;
-	beat->seen_ns = kwb_boot_now_ns();
-	beat->changed_ns = beat->seen_ns;
-	beat->changed = true;
-	beat->reads = 0;
-	beat->processor_milli = processor_of(value);
+	heartbeat->revision = revision;
+	heartbeat->seen_ns = kwb_boot_now_ns();
+	heartbeat->changed_ns = heartbeat->seen_ns;
+	heartbeat->changed = true;
+	heartbeat->reads = 0;
+	heartbeat->processor_milli = parse_processor_milli(value);
 }
 
 bool
-own_is_alive(const struct kwb_batches *batches, const char *node)
+owner_is_alive(const struct kwb_batches *batches, const char *node)
 {
-	const struct kwb_node_beat *beat = beat_find(batches, node);
+	const struct kwb_node_heartbeat *heartbeat =
+	    heartbeat_find(batches, node);
 
-	return beat != NULL && kwb_beat_is_alive(beat, kwb_boot_now_ns());
+	return heartbeat != NULL &&
+	    kwb_heartbeat_is_recent(heartbeat, kwb_boot_now_ns());
 }
 
 bool
-own_keeps(const struct kwb_batches *batches, const char *owner)
+owner_is_kept(const struct kwb_batches *batches, const char *owner)
 {
-	const struct kwb_node_beat *beat = beat_find(batches, owner);
+	const struct kwb_node_heartbeat *heartbeat =
+	    heartbeat_find(batches, owner);
 
-	return own_is_alive(batches, owner) &&
-	    kwb_owner_stays(
-		beat->processor_milli, batches->env->settings->processor_milli);
+	return owner_is_alive(batches, owner) &&
+	    kwb_owner_is_kept(heartbeat->processor_milli,
+		batches->env->settings->processor_milli);
 }
 
 void
-own_changed(struct kwb_batches *batches, const struct kwb_batch_head *head)
+owner_note_assignment(
+    struct kwb_batches *batches, const struct kwb_batch_record *record)
 {
-	struct kwb_node_beat *beat = beat_find(batches, head->owner);
+	struct kwb_node_heartbeat *heartbeat =
+	    heartbeat_find(batches, record->owner);
 
-	if (beat != NULL)
-		kwb_beat_given(beat, kwb_boot_now_ns());
+	if (heartbeat != NULL)
+		kwb_heartbeat_note_assignment(heartbeat, kwb_boot_now_ns());
 }
 
-/* Silent for the whole time that this node itself could read the beats. */
+/* Silent for the whole time that this node itself could read the heartbeats. */
 static bool
-is_silent(struct kwb_batches *batches, const char *node)
+owner_is_expired(struct kwb_batches *batches, const char *node)
 {
-	const struct kwb_node_beat *beat = beat_find(batches, node);
+	const struct kwb_node_heartbeat *heartbeat =
+	    heartbeat_find(batches, node);
 
-	if (beat == NULL) {
-		beat_note(batches, node, 0, "");
+	if (heartbeat == NULL) {
+		heartbeat_update(batches, node, 0, "");
 		return false;
 	}
-	return kwb_beat_is_silent(beat, kwb_boot_now_ns());
+	return kwb_heartbeat_is_expired(heartbeat, kwb_boot_now_ns());
 }
 
 static void
-forget_answer(
+remove_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	(void)call;
@@ -134,66 +140,69 @@
 
 /* The row of a node that is long gone is removed, or all would read it. */
 static void
-beat_forget(struct kwb_batches *batches, const struct kwb_row *row)
+heartbeat_remove_old(struct kwb_batches *batches, const struct kwb_row *row)
 {
 	static struct kwb_tx tx;
 	struct kwb_store *store = batches->env->store;
-	const struct kwb_node_beat *beat = beat_find(batches, row->key);
+	const struct kwb_node_heartbeat *heartbeat =
+	    heartbeat_find(batches, row->key);
 
-	if (beat == NULL || beat->revision != row->revision ||
-	    batches->forget.driver != NULL ||
-	    kwb_boot_now_ns() - beat->changed_ns < KWB_BEAT_FORGET_NS)
+	if (heartbeat == NULL || heartbeat->revision != row->revision ||
+	    batches->heartbeat_remove.driver != NULL ||
+	    kwb_boot_now_ns() - heartbeat->changed_ns < KWB_OWNER_FORGET_NS)
 		return;
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_expect(&tx, TABLE_NODES, "", row->key, row->revision);
 	kwb_tx_remove(&tx, TABLE_NODES, "", row->key);
-	batches->forget.on_done = forget_answer;
-	batches->forget.context = batches;
-	if (store->ops->transact(store, &tx, &batches->forget) != 0)
+	batches->heartbeat_remove.on_done = remove_answer;
+	batches->heartbeat_remove.context = batches;
+	if (store->ops->transact(store, &tx, &batches->heartbeat_remove) != 0)
 		kwb_log(KWB_LOG_WARN, "own", "event=node_not_forgotten");
 }
 
 static void
-look_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+heartbeats_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batches *batches = call->context;
 	uint32_t i;
 	uint32_t k;
 
 	if (answer->error != 0) {
-		/* Only beats missed while they could be read count. */
-		for (i = 0; i < batches->beats_count; i++) {
-			batches->beats[i].seen_ns = kwb_boot_now_ns();
-			batches->beats[i].reads = 0;
+		/* Only heartbeats missed while they could be read count. */
+		for (i = 0; i < batches->heartbeats_count; i++) {
+			batches->heartbeats[i].seen_ns = kwb_boot_now_ns();
+			batches->heartbeats[i].reads = 0;
 		}
 		return;
 	}
-	for (i = 0; i < batches->beats_count; i++) {
+	for (i = 0; i < batches->heartbeats_count; i++) {
 		for (k = 0; k < answer->rows_count; k++)
-			if (strcmp(batches->beats[i].node,
+			if (strcmp(batches->heartbeats[i].node,
 				answer->rows[k].key) == 0)
 				break;
 		if (k == answer->rows_count)
-			batches->beats[i].reads++;
+			batches->heartbeats[i].reads++;
 	}
 	for (k = 0; k < answer->rows_count; k++) {
-		beat_note(batches, answer->rows[k].key,
+		heartbeat_update(batches, answer->rows[k].key,
 		    answer->rows[k].revision, answer->rows[k].value);
-		beat_forget(batches, &answer->rows[k]);
+		heartbeat_remove_old(batches, &answer->rows[k]);
 	}
 }
 
 static void
-beat_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+heartbeat_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batches *batches = call->context;
 
 	if (answer->error != 0)
-		batches->beat_ns = 0;
+		batches->heartbeat_ns = 0;
 }
 
 static void
-beat_write(struct kwb_batches *batches)
+heartbeat_write(struct kwb_batches *batches)
 {
 	static struct kwb_tx tx;
 	struct kwb_store *store = batches->env->store;
@@ -202,15 +211,15 @@
 	    (unsigned long long)batches->env->incarnation,
 	    batches->env->settings->processor_milli);
 
-	/* An answer that is lost must not hold up the next beat. */
-	kwb_store_cancel(store, &batches->beat);
+	/* An answer that is lost must not hold up the next heartbeat. */
+	kwb_store_cancel(store, &batches->heartbeat);
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_put(&tx, TABLE_NODES, "", batches->env->settings->node, value,
 	    (size_t)length);
-	batches->beat.on_done = beat_answer;
-	batches->beat.context = batches;
-	if (store->ops->transact(store, &tx, &batches->beat) == 0)
-		batches->beat_ns = kwb_clock_now_ns();
+	batches->heartbeat.on_done = heartbeat_answer;
+	batches->heartbeat.context = batches;
+	if (store->ops->transact(store, &tx, &batches->heartbeat) == 0)
+		batches->heartbeat_ns = kwb_clock_now_ns();
 }
 
 static void
@@ -220,13 +229,13 @@
 
 	claim->open = false;
 	kwb_log(KWB_LOG_INFO, "own", "event=%s batch=%s revision=%llu error=%s",
-	    answer->error == 0 ? "claimed" : "claim_failed", claim->head.id,
-	    (unsigned long long)claim->head.revision,
+	    answer->error == 0 ? "claimed" : "claim_failed", claim->record.id,
+	    (unsigned long long)claim->record.revision,
 	    kwb_error_name(answer->error));
 	if (answer->error != 0)
 		return;
-	claim->head.revision = answer->revision;
-	heads_put(claim->batches, &claim->head);
+	claim->record.revision = answer->revision;
+	records_update(claim->batches, &claim->record);
 }
 
 static bool
@@ -236,13 +245,13 @@
 
 	for (i = 0; i < KWB_CLAIMS_MAX; i++)
 		if (claims[i].open && claims[i].batches == batches &&
-		    strcmp(claims[i].head.id, batch) == 0)
+		    strcmp(claims[i].record.id, batch) == 0)
 			return true;
 	return false;
 }
 
 static void
-claim_start(struct kwb_batches *batches, const struct kwb_batch_head *head,
+claim_start(struct kwb_batches *batches, const struct kwb_batch_record *record,
     bool release)
 {
 	static struct kwb_tx tx;
@@ -254,20 +263,21 @@
 	for (i = 0; i < KWB_CLAIMS_MAX; i++)
 		if (!claims[i].open)
 			claim = &claims[i];
-	if (claim == NULL || claim_is_open(batches, head->id))
+	if (claim == NULL || claim_is_open(batches, record->id))
 		return;
 	memset(claim, 0, sizeof(*claim));
 	claim->batches = batches;
-	claim->head = *head;
-	kwb_text_copy(claim->head.owner, sizeof(claim->head.owner),
+	claim->record = *record;
+	kwb_text_copy(claim->record.owner, sizeof(claim->record.owner),
 	    release ? "" : batches->env->settings->node);
-	claim->head.owner_incarnation = release ? 0 : batches->env->incarnation;
-	claim->head.fresh = release && head->fresh;
+	claim->record.owner_incarnation =
+	    release ? 0 : batches->env->incarnation;
+	claim->record.fresh = release && record->fresh;
 	claim->call.on_done = claim_answer;
 	claim->call.context = claim;
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
-	head_write(&claim->head, &tx, &value);
+	record_add_to_tx(&claim->record, &tx, &value);
 	claim->open = store->ops->transact(store, &tx, &claim->call) == 0;
 	kwb_buf_finish(&value);
 }
@@ -278,81 +288,82 @@
  * none.
  */
 static uint64_t
-claim_at(struct kwb_batches *batches, struct kwb_batch_head *head)
+claim_time_ns(struct kwb_batches *batches, struct kwb_batch_record *record)
 {
-	if (strcmp(head->owner, batches->env->settings->node) == 0)
+	if (strcmp(record->owner, batches->env->settings->node) == 0)
 		return 0; /* of an earlier process of this node */
-	if (head->owner[0] != '\0' && !is_silent(batches, head->owner)) {
-		head->claim_ns = 0;
+	if (record->owner[0] != '\0' &&
+	    !owner_is_expired(batches, record->owner)) {
+		record->claim_ns = 0;
 		return UINT64_MAX;
 	}
-	if (head->claim_ns == 0)
-		head->claim_ns = kwb_clock_now_ns() +
-		    kwb_claim_wait_ns(batches->env->settings->processor_milli,
-			batches->nodes, (uint64_t)random());
-	return head->claim_ns;
+	if (record->claim_ns == 0)
+		record->claim_ns = kwb_clock_now_ns() +
+		    kwb_claim_delay_ns(batches->env->settings->processor_milli,
+			batches->fleet_nodes, (uint64_t)random());
+	return record->claim_ns;
 }
 
 static bool
-is_open(const struct kwb_batch_head *head)
+needs_owner(const struct kwb_batch_record *record)
 {
-	return !head->ended && !head->listed;
+	return !record->ended && !record->listed;
 }
 
 /* Runs of a batch that this node may not run, or need not, come to an end. */
 static void
-batches_close(struct kwb_batches *batches)
+close_batches(struct kwb_batches *batches)
 {
 	struct kwb_batch *batch = TAILQ_FIRST(&batches->running);
 	struct kwb_batch *next;
-	const struct kwb_batch_head *head;
+	const struct kwb_batch_record *record;
 
 	for (; batch != NULL; batch = next) {
 		next = TAILQ_NEXT(batch, entry);
-		head = kwb_batches_head(batches, batch->head.id);
-		if (head != NULL && is_open(head) &&
-		    own_is_mine(batches, head) && !batch->closing)
+		record = kwb_batches_find_record(batches, batch->record.id);
+		if (record != NULL && needs_owner(record) &&
+		    owner_is_self(batches, record) && !batch->closing)
 			continue;
-		if (batch->closing && batch->head.listed && head != NULL &&
-		    is_open(head) && own_is_mine(batches, head)) {
-			/* Says in the head that nothing is left to do. */
-			struct kwb_batch_head listed = *head;
+		if (batch->closing && batch->record.listed && record != NULL &&
+		    needs_owner(record) && owner_is_self(batches, record)) {
+			/* Says in the record that nothing is left to do. */
+			struct kwb_batch_record listed = *record;
 
 			listed.listed = true;
 			claim_start(batches, &listed, false);
 		}
 		kwb_log(KWB_LOG_INFO, "own",
 		    "event=closed batch=%s listed=%u items=%u reason=%s",
-		    batch->head.id, batch->listed, batch->spec.items_count,
-		    head == NULL	     ? "removed"
-			: head->ended	     ? "ended"
-			: batch->head.listed ? "all_listed"
-					     : "other_owner");
+		    batch->record.id, batch->listed, batch->spec.items_count,
+		    record == NULL	       ? "removed"
+			: record->ended	       ? "ended"
+			: batch->record.listed ? "all_listed"
+					       : "other_owner");
 		batch_free(batch);
 	}
 }
 
 void
-own_look(struct kwb_batches *batches)
+owner_check_soon(struct kwb_batches *batches)
 {
 	/* On the loop's next turn: callers may be inside of a batch. */
-	kwb_timer_at(batches->minder, 0);
+	kwb_timer_at(batches->owner_timer, 0);
 }
 
 void
-kwb_batches_beat(struct kwb_batches *batches)
+kwb_batches_send_heartbeat(struct kwb_batches *batches)
 {
-	batches->beat_ns = 0;
-	own_look(batches);
+	batches->heartbeat_ns = 0;
+	owner_check_soon(batches);
 }
 
 /* Reads again what could not be read, or says when. */
 static void
-load_again(struct kwb_batch *batch, uint64_t now_ns, uint64_t *next_ns)
+retry_load(struct kwb_batch *batch, uint64_t now_ns, uint64_t *next_ns)
 {
-	if (batch->loading_ns > now_ns) {
-		if (batch->loading_ns < *next_ns)
-			*next_ns = batch->loading_ns;
+	if (batch->load_retry_ns > now_ns) {
+		if (batch->load_retry_ns < *next_ns)
+			*next_ns = batch->load_retry_ns;
 	} else if (batch->loaded) {
 		batch_reconcile(batch);
 	} else {
@@ -361,91 +372,93 @@
 }
 
 static void
-minder_time(int fd, short what, void *context)
+on_owner_timer(int fd, short what, void *context)
 {
 	struct kwb_batches *batches = context;
 	uint64_t now_ns = kwb_clock_now_ns();
-	struct kwb_batch_head *head;
+	struct kwb_batch_record *record;
 	struct kwb_batch *batch;
-	bool look = batches->heads_count > 0 &&
-	    now_ns - batches->changed_ns < KWB_OWNER_STAY_NS;
-	uint64_t next_ns = now_ns + KWB_MINDER_NS;
+	bool heartbeats_read = batches->records_count > 0 &&
+	    now_ns - batches->changed_ns < KWB_OWNER_LINGER_NS;
+	uint64_t next_ns = now_ns + KWB_OWNER_CHECK_NS;
 	uint64_t claim_ns;
 	uint32_t i;
 
 	(void)fd;
 	(void)what;
-	batches_close(batches);
-	for (i = 0; i < batches->heads_count; i++) {
-		head = batches->heads[i];
-		if (!is_open(head) || claim_is_open(batches, head->id))
+	close_batches(batches);
+	for (i = 0; i < batches->records_count; i++) {
+		record = batches->records[i];
+		if (!needs_owner(record) || claim_is_open(batches, record->id))
 			continue;
-		batch = batch_find(batches, head->id);
-		if (own_is_mine(batches, head)) {
-			if (batch == NULL && !batches->leaving) {
-				batch = batch_new(batches, head);
+		batch = batch_find(batches, record->id);
+		if (owner_is_self(batches, record)) {
+			if (batch == NULL && !batches->handing_over) {
+				batch = batch_new(batches, record);
 				if (batch != NULL)
 					batch_load(batch);
 			} else if (batch == NULL) {
 				/* Given to this node as it began to stop. */
-				claim_start(batches, head, true);
-			} else if (batch->loading_ns != 0) {
-				load_again(batch, now_ns, &next_ns);
+				claim_start(batches, record, true);
+			} else if (batch->load_retry_ns != 0) {
+				retry_load(batch, now_ns, &next_ns);
 			}
 			continue;
 		}
-		look = true;
-		if (batches->leaving)
+		heartbeats_read = true;
+		if (batches->handing_over)
 			continue;
-		claim_ns = claim_at(batches, head);
+		claim_ns = claim_time_ns(batches, record);
 		if (claim_ns <= now_ns)
-			claim_start(batches, head, false);
+			claim_start(batches, record, false);
 		else if (claim_ns < next_ns)
 			next_ns = claim_ns;
 	}
 	if (!TAILQ_EMPTY(&batches->running))
-		batches->owned_ns = now_ns;
-	if (batches->owned_ns != 0 && !batches->leaving &&
-	    now_ns - batches->owned_ns < KWB_OWNER_STAY_NS &&
-	    now_ns - batches->beat_ns >= KWB_BEAT_NS)
-		beat_write(batches);
-	if (look && !batches->leaving && batches->look.driver == NULL) {
+		batches->last_owned_ns = now_ns;
+	if (batches->last_owned_ns != 0 && !batches->handing_over &&
+	    now_ns - batches->last_owned_ns < KWB_OWNER_LINGER_NS &&
+	    now_ns - batches->heartbeat_ns >= KWB_OWNER_HEARTBEAT_NS)
+		heartbeat_write(batches);
+	if (heartbeats_read && !batches->handing_over &&
+	    batches->heartbeats_read.driver == NULL) {
 		struct kwb_range range = {.table = TABLE_NODES, .part = ""};
 
-		batches->look.on_done = look_answer;
-		batches->look.context = batches;
+		batches->heartbeats_read.on_done = heartbeats_answer;
+		batches->heartbeats_read.context = batches;
 		batches->env->store->ops->range(
-		    batches->env->store, &range, &batches->look);
+		    batches->env->store, &range, &batches->heartbeats_read);
 	}
-	sweep_look(batches);
-	kwb_timer_at(batches->minder, next_ns);
+	sweep_start_next(batches);
+	kwb_timer_at(batches->owner_timer, next_ns);
 }
 
 int
-own_init(struct kwb_batches *batches)
+owner_init(struct kwb_batches *batches)
 {
-	batches->minder =
-	    kwb_timer_new(batches->env->base, minder_time, batches);
-	if (batches->minder == NULL)
+	batches->owner_timer =
+	    kwb_timer_new(batches->env->base, on_owner_timer, batches);
+	if (batches->owner_timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(batches->minder, kwb_clock_now_ns() + KWB_MINDER_NS);
+	kwb_timer_at(
+	    batches->owner_timer, kwb_clock_now_ns() + KWB_OWNER_CHECK_NS);
 	return 0;
 }
 
 void
-own_finish(struct kwb_batches *batches)
+owner_finish(struct kwb_batches *batches)
 {
 	uint32_t i;
 
-	kwb_store_cancel(batches->env->store, &batches->beat);
-	kwb_store_cancel(batches->env->store, &batches->look);
+	kwb_store_cancel(batches->env->store, &batches->heartbeat);
+	kwb_store_cancel(batches->env->store, &batches->heartbeats_read);
 	kwb_store_cancel(batches->env->store, &batches->sweep);
-	kwb_store_cancel(batches->env->store, &batches->forget);
+	kwb_store_cancel(batches->env->store, &batches->heartbeat_remove);
 	for (i = 0; i < KWB_CLAIMS_MAX; i++)
 		if (claims[i].open && claims[i].batches == batches) {
 			kwb_store_cancel(batches->env->store, &claims[i].call);
 			claims[i].open = false;
 		}
-	event_free(batches->minder);
-	free(batches->beats);
+	event_free(batches->owner_timer);
+	free(batches->heartbeats);
 }
--- a/src/batch/owner.c
+++ b/src/batch/owner.c
@@ -6,31 +6,34 @@
 #include "kwb_node.h"
 
 bool
-kwb_beat_is_alive(const struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_is_recent(
+    const struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	return beat->revision != 0 && beat->changed &&
-	    now_ns - beat->changed_ns < KWB_OWNER_ALIVE_NS;
+	return heartbeat->revision != 0 && heartbeat->changed &&
+	    now_ns - heartbeat->changed_ns < KWB_OWNER_RECENT_NS;
 }
 
 /* Counted are only reads that succeeded: the silence may be the reader's. */
 bool
-kwb_beat_is_silent(const struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_is_expired(
+    const struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	return beat->reads >= KWB_BEAT_READS &&
-	    now_ns - beat->seen_ns >= KWB_OWNER_SILENT_NS;
+	return heartbeat->reads >= KWB_OWNER_EXPIRED_READS &&
+	    now_ns - heartbeat->seen_ns >= KWB_OWNER_EXPIRED_NS;
 }
 
 /*
- * An idle node does not beat and needs time to begin. One that was beating may
- * have died just now, before anyone could know.
+ * An idle node does not heartbeat and needs time to begin. One that was beating
+ * may have died just now, before anyone could know.
  */
 void
-kwb_beat_given(struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_note_assignment(
+    struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	if (now_ns - beat->changed_ns < KWB_OWNER_SILENT_NS)
+	if (now_ns - heartbeat->changed_ns < KWB_OWNER_EXPIRED_NS)
 		return;
-	beat->seen_ns = now_ns;
-	beat->reads = 0;
+	heartbeat->seen_ns = now_ns;
+	heartbeat->reads = 0;
 }
 
 /*
@@ -39,21 +42,21 @@
  * heard of it.
  */
 uint64_t
-kwb_claim_wait_ns(uint32_t processor_milli, uint32_t nodes, uint64_t random)
+kwb_claim_delay_ns(uint32_t processor_milli, uint32_t nodes, uint64_t random)
 {
 	uint64_t spread_ns = KWB_CLAIM_SPREAD_NS * 1000 /
 	    (processor_milli > 0 ? processor_milli : 1);
 
 	if (spread_ns > KWB_CLAIM_SPREAD_MAX_NS)
 		spread_ns = KWB_CLAIM_SPREAD_MAX_NS;
-	if (nodes > KWB_CLAIM_NODES)
-		spread_ns = spread_ns * nodes / KWB_CLAIM_NODES;
+	if (nodes > KWB_CLAIM_SPREAD_NODES)
+		spread_ns = spread_ns * nodes / KWB_CLAIM_SPREAD_NODES;
 	return random % spread_ns;
 }
 
 bool
-kwb_owner_stays(uint32_t owner_milli, uint32_t other_milli)
+kwb_owner_is_kept(uint32_t owner_milli, uint32_t other_milli)
 {
 	return owner_milli == 0 ||
-	    other_milli < owner_milli * KWB_OWNER_PROCESSOR_TIMES;
+	    other_milli < owner_milli * KWB_OWNER_PROCESSOR_RATIO;
 }
--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -1,11 +1,11 @@
 /*
- * Texts that items have so far, kept in the store in pieces: from time to time,
- * so that a node that takes the batch over resumes long items, and once more
- * when the batch is handed over at a planned stop.
+ * Texts that items have so far, kept in the store in chunk_writes: from time to
+ * time, so that a node that takes the batch over resumes long items, and once
+ * more when the batch is handed over at a planned stop.
  *
- * A piece holds the events since the one before it. Two owners may write for a
- * moment, so a piece names the text that it belongs to, and the first piece of
- * a resumed text the one it goes on from; see kwb_piece_joins().
+ * A chunk holds the events since the one before it. Two owners may write for a
+ * moment, so a chunk names the text that it belongs to, and the first chunk of
+ * a resumed text the one it goes on from; see kwb_text_chunk_follows().
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,18 +13,18 @@
 
 #include "batch.h"
 
-#define PIECE_DIGITS 8 /* keys sort by event */
+#define CHUNK_EVENT_DIGITS 8 /* keys sort by event */
 
 /* What one transaction writes. */
-struct pieces {
+struct chunk_writes {
 	struct kwb_tx tx;
-	struct kwb_buf values[PIECES_MAX];
-	char keys[PIECES_MAX][KWB_KEY_MAX_BYTES + PIECE_DIGITS + 2];
+	struct kwb_buf values[CHUNKS_MAX];
+	char keys[CHUNKS_MAX][KWB_KEY_MAX_BYTES + CHUNK_EVENT_DIGITS + 2];
 	uint32_t count;
 	size_t bytes;
 };
 
-static void leave_step(struct kwb_batch *batch);
+static void hand_over_step(struct kwb_batch *batch);
 
 static uint64_t
 new_text_id(const struct kwb_batches *batches)
@@ -36,38 +36,40 @@
 }
 
 void
-text_forget(struct item_run *run)
+run_reset_text(struct item_run *run)
 {
 	run->text.used_bytes = 0;
 	run->last_event = 0;
 	run->versions_count = 0;
-	run->saved = (struct kwb_piece){0};
+	run->saved_chunk = (struct kwb_text_chunk){0};
 	run->saved_bytes = 0;
 	run->sending_event = 0;
 	run->resumed = false;
 }
 
-/* Adds an item's events since its last piece. */
+/* Adds an item's events since its last chunk. */
 static void
-piece_add(struct pieces *pieces, struct item_run *run)
+chunk_add(struct chunk_writes *chunk_writes, struct item_run *run)
 {
-	uint32_t at = pieces->count;
-	struct kwb_buf *value = &pieces->values[at];
-	struct kwb_piece *saved = &run->saved;
-	size_t begin = run->saved_bytes + (saved->last > 0); /* line feed */
+	uint32_t at = chunk_writes->count;
+	struct kwb_buf *value = &chunk_writes->values[at];
+	struct kwb_text_chunk *saved_chunk = &run->saved_chunk;
+	size_t begin =
+	    run->saved_bytes + (saved_chunk->last > 0); /* line feed */
 	uint32_t i;
 
-	if (saved->text == 0 || run->resumed) {
-		saved->before = saved->text;
-		saved->resumed_at = saved->last;
-		saved->text = new_text_id(run->batch->batches);
+	if (saved_chunk->text == 0 || run->resumed) {
+		saved_chunk->before = saved_chunk->text;
+		saved_chunk->resumed_at = saved_chunk->last;
+		saved_chunk->text = new_text_id(run->batch->batches);
 		run->resumed = false;
 	}
 	kwb_buf_init(value);
 	kwb_buf_printf(value, "%llu %llu %llu %llu %llu",
-	    (unsigned long long)saved->text, (unsigned long long)saved->before,
-	    (unsigned long long)saved->resumed_at,
-	    (unsigned long long)saved->last + 1,
+	    (unsigned long long)saved_chunk->text,
+	    (unsigned long long)saved_chunk->before,
+	    (unsigned long long)saved_chunk->resumed_at,
+	    (unsigned long long)saved_chunk->last + 1,
 	    (unsigned long long)run->last_event);
 	for (i = 0; i < run->versions_count; i++)
 		kwb_buf_printf(
@@ -79,34 +81,35 @@
 		kwb_buf_finish(value); /* too long for a row: made anew */
 		return;
 	}
-	snprintf(pieces->keys[at], sizeof(pieces->keys[at]), "%s.%0*llu",
-	    run->item->id, PIECE_DIGITS, (unsigned long long)saved->last + 1);
-	kwb_tx_put(&pieces->tx, TABLE_PARTIAL, run->batch->head.id,
-	    pieces->keys[at], value->data, value->used_bytes);
+	snprintf(chunk_writes->keys[at], sizeof(chunk_writes->keys[at]),
+	    "%s.%0*llu", run->item->id, CHUNK_EVENT_DIGITS,
+	    (unsigned long long)saved_chunk->last + 1);
+	kwb_tx_put(&chunk_writes->tx, TABLE_PARTIAL, run->batch->record.id,
+	    chunk_writes->keys[at], value->data, value->used_bytes);
 	run->sending_event = run->last_event;
 	run->sending_bytes = run->text.used_bytes;
-	pieces->bytes += value->used_bytes;
-	pieces->count++;
+	chunk_writes->bytes += value->used_bytes;
+	chunk_writes->count++;
 }
 
 /* Sends them under a call of the batch; false when there are none. */
 static bool
-pieces_send(
-    struct pieces *pieces, struct kwb_batch *batch, struct kwb_store_call *call)
+chunks_send(struct chunk_writes *chunk_writes, struct kwb_batch *batch,
+    struct kwb_store_call *call)
 {
 	struct kwb_store *store = batch->batches->env->store;
-	bool sent = pieces->count > 0 &&
-	    store->ops->transact(store, &pieces->tx, call) == 0;
+	bool sent = chunk_writes->count > 0 &&
+	    store->ops->transact(store, &chunk_writes->tx, call) == 0;
 	uint32_t i;
 
-	for (i = 0; i < pieces->count; i++)
-		kwb_buf_finish(&pieces->values[i]);
+	for (i = 0; i < chunk_writes->count; i++)
+		kwb_buf_finish(&chunk_writes->values[i]);
 	return sent;
 }
 
 /* After a failure the same events are sent again, under the same keys. */
 static void
-pieces_sent(struct kwb_batch *batch, bool written)
+chunks_mark_sent(struct kwb_batch *batch, bool written)
 {
 	uint32_t i;
 
@@ -114,7 +117,7 @@
 		struct item_run *run = &batch->runs[i];
 
 		if (written && run->sending_event != 0) {
-			run->saved.last = run->sending_event;
+			run->saved_chunk.last = run->sending_event;
 			run->saved_bytes = run->sending_bytes;
 		}
 		run->sending_event = 0;
@@ -124,11 +127,11 @@
 /* ---- Reading ------------------------------------------------------------ */
 
 static bool
-piece_parse(struct kwb_piece *piece, uint64_t *versions,
+chunk_parse(struct kwb_text_chunk *chunk, uint64_t *versions,
     uint32_t *versions_count, const struct kwb_row *row, const char **text)
 {
-	uint64_t *const fields[] = {&piece->text, &piece->before,
-	    &piece->resumed_at, &piece->first, &piece->last};
+	uint64_t *const fields[] = {&chunk->text, &chunk->before,
+	    &chunk->resumed_at, &chunk->first, &chunk->last};
 	char *at = row->value;
 	uint32_t i;
 
@@ -139,57 +142,59 @@
 	     (*versions_count)++)
 		versions[*versions_count] = strtoull(at + 1, &at, 10);
 	*text = at + 1;
-	return *at == '\n' && piece->text != 0 && piece->first != 0 &&
-	    piece->last >= piece->first;
+	return *at == '\n' && chunk->text != 0 && chunk->first != 0 &&
+	    chunk->last >= chunk->first;
 }
 
 void
-partial_read(struct kwb_batch *batch, const struct kwb_row *row)
+chunk_restore(struct kwb_batch *batch, const struct kwb_row *row)
 {
 	const char *dot = strrchr(row->key, '.');
 	size_t length = dot != NULL ? (size_t)(dot - row->key) : 0;
-	struct item_run *run = batch_run(batch, row->key, length);
+	struct item_run *run = batch_find_run(batch, row->key, length);
 	uint64_t versions[ITEM_VERSIONS_MAX];
 	uint32_t versions_count;
-	struct kwb_piece piece;
+	struct kwb_text_chunk chunk;
 	const char *text;
 
 	if (run == NULL || run->state != ITEM_WAITING)
 		return;
-	if (!piece_parse(&piece, versions, &versions_count, row, &text)) {
+	if (!chunk_parse(&chunk, versions, &versions_count, row, &text)) {
 		kwb_log(KWB_LOG_WARN, "batch",
-		    "event=partial_unreadable batch=%s item=%s", batch->head.id,
-		    row->key);
+		    "event=partial_unreadable batch=%s item=%s",
+		    batch->record.id, row->key);
 		return;
 	}
-	if (!kwb_piece_joins(&piece, &run->saved))
+	if (!kwb_text_chunk_follows(&chunk, &run->saved_chunk))
 		return;
-	if ((run->saved.last > 0 && kwb_buf_add(&run->text, "\n", 1) != 0) ||
+	if ((run->saved_chunk.last > 0 &&
+		kwb_buf_add(&run->text, "\n", 1) != 0) ||
 	    kwb_buf_add(&run->text, text,
 		row->value_bytes - (size_t)(text - row->value)) != 0) {
-		text_forget(run);
+		run_reset_text(run);
 		return;
 	}
 	memcpy(run->versions, versions, sizeof(versions));
 	run->versions_count = versions_count;
-	run->saved = piece;
+	run->saved_chunk = chunk;
 	run->saved_bytes = run->text.used_bytes;
-	run->last_event = piece.last;
+	run->last_event = chunk.last;
 	run->resumed = true;
 }
 
 /* ---- Handing over ------------------------------------------------------- */
 
 static void
-leave_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+hand_over_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
 
 	if (answer->error != 0)
 		kwb_log(KWB_LOG_WARN, "own",
 		    "event=hand_over_text_lost batch=%s error=%s",
-		    batch->head.id, kwb_error_name(answer->error));
-	leave_step(batch);
+		    batch->record.id, kwb_error_name(answer->error));
+	hand_over_step(batch);
 }
 
 static void
@@ -199,26 +204,26 @@
 	struct kwb_batch *batch = call->context;
 
 	kwb_log(KWB_LOG_INFO, "own", "event=released batch=%s error=%s",
-	    batch->head.id, kwb_error_name(answer->error));
+	    batch->record.id, kwb_error_name(answer->error));
 	batch->closing = true;
-	own_look(batch->batches);
+	owner_check_soon(batch->batches);
 }
 
 static void
-leave_release(struct kwb_batch *batch)
+release_batch(struct kwb_batch *batch)
 {
 	static struct kwb_tx tx;
 	struct kwb_store *store = batch->batches->env->store;
-	const struct kwb_batch_head *known =
-	    kwb_batches_head(batch->batches, batch->head.id);
-	struct kwb_batch_head head = known ? *known : batch->head;
+	const struct kwb_batch_record *known =
+	    kwb_batches_find_record(batch->batches, batch->record.id);
+	struct kwb_batch_record record = known ? *known : batch->record;
 	struct kwb_buf value;
 
-	head.owner[0] = '\0';
-	head.owner_incarnation = 0;
+	record.owner[0] = '\0';
+	record.owner_incarnation = 0;
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
-	head_write(&head, &tx, &value);
+	record_add_to_tx(&record, &tx, &value);
 	batch->call.on_done = released_answer;
 	if (store->ops->transact(store, &tx, &batch->call) != 0)
 		batch->closing = true;
@@ -227,42 +232,43 @@
 
 /* Writes the texts that items have so far, then lets go of the batch. */
 static void
-leave_step(struct kwb_batch *batch)
+hand_over_step(struct kwb_batch *batch)
 {
-	static struct pieces pieces;
+	static struct chunk_writes chunk_writes;
 	struct item_run *run;
 
-	memset(&pieces, 0, sizeof(pieces));
-	while (batch->leave_next < batch->spec.items_count &&
-	    pieces.count < PIECES_MAX && pieces.bytes < KWB_TX_MAX_BYTES) {
-		run = &batch->runs[batch->leave_next++];
-		if (run->last_event > run->saved.last &&
+	memset(&chunk_writes, 0, sizeof(chunk_writes));
+	while (batch->hand_over_next < batch->spec.items_count &&
+	    chunk_writes.count < CHUNKS_MAX &&
+	    chunk_writes.bytes < KWB_TX_MAX_BYTES) {
+		run = &batch->runs[batch->hand_over_next++];
+		if (run->last_event > run->saved_chunk.last &&
 		    run->state != ITEM_LISTED)
-			piece_add(&pieces, run);
+			chunk_add(&chunk_writes, run);
 	}
 	batch->call.context = batch;
-	batch->call.on_done = leave_answer;
-	if (!pieces_send(&pieces, batch, &batch->call))
-		leave_release(batch);
+	batch->call.on_done = hand_over_answer;
+	if (!chunks_send(&chunk_writes, batch, &batch->call))
+		release_batch(batch);
 }
 
 void
-batch_leave(struct kwb_batch *batch)
+batch_hand_over(struct kwb_batch *batch)
 {
 	uint32_t i;
 
-	if (batch->leaving)
+	if (batch->handing_over)
 		return;
-	batch->leaving = true;
+	batch->handing_over = true;
 	if (batch->loaded)
 		for (i = 0; i < batch->spec.items_count; i++)
 			run_stop(&batch->runs[i]);
 	kwb_store_cancel(batch->batches->env->store, &batch->call);
-	kwb_store_cancel(batch->batches->env->store, &batch->checkpoint);
+	kwb_store_cancel(batch->batches->env->store, &batch->checkpoint_call);
 	batch->listing = false;
 	batch->in_doubt = true; /* the listing may still be done */
-	batch->leave_next = batch->loaded ? 0 : batch->spec.items_count;
-	leave_step(batch);
+	batch->hand_over_next = batch->loaded ? 0 : batch->spec.items_count;
+	hand_over_step(batch);
 }
 
 /* ---- From time to time --------------------------------------------------- */
@@ -273,10 +279,10 @@
 {
 	struct kwb_batch *batch = call->context;
 
-	pieces_sent(batch, answer->error == 0);
+	chunks_mark_sent(batch, answer->error == 0);
 	if (answer->error != 0)
 		kwb_log(KWB_LOG_INFO, "batch",
-		    "event=checkpoint_lost batch=%s error=%s", batch->head.id,
+		    "event=checkpoint_lost batch=%s error=%s", batch->record.id,
 		    kwb_error_name(answer->error));
 }
 
@@ -285,36 +291,37 @@
 is_checkpoint_due(const struct item_run *run)
 {
 	return run->state == ITEM_RUNNING &&
-	    run->last_event >= KWB_CHECKPOINT_LEAST &&
-	    run->last_event >= run->saved.last + KWB_CHECKPOINT_EVENTS;
+	    run->last_event >= KWB_CHECKPOINT_MIN_EVENTS &&
+	    run->last_event >= run->saved_chunk.last + KWB_CHECKPOINT_EVENTS;
 }
 
 void
 batch_checkpoint(struct kwb_batch *batch)
 {
-	static struct pieces pieces;
+	static struct chunk_writes chunk_writes;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
-	if (!batch->loaded || batch->leaving || batch->closing ||
-	    batch->checkpoint.driver != NULL ||
-	    now_ns - batch->checkpoint_ns < KWB_CHECKPOINT_NS)
+	if (!batch->loaded || batch->handing_over || batch->closing ||
+	    batch->checkpoint_call.driver != NULL ||
+	    now_ns - batch->checkpoint_started_ns < KWB_CHECKPOINT_NS)
 		return;
-	batch->checkpoint_ns = now_ns;
-	memset(&pieces, 0, sizeof(pieces));
-	for (i = 0; i < batch->spec.items_count && pieces.count < PIECES_MAX &&
-	     pieces.bytes < KWB_TX_MAX_BYTES;
+	batch->checkpoint_started_ns = now_ns;
+	memset(&chunk_writes, 0, sizeof(chunk_writes));
+	for (i = 0;
+	     i < batch->spec.items_count && chunk_writes.count < CHUNKS_MAX &&
+	     chunk_writes.bytes < KWB_TX_MAX_BYTES;
 	     i++)
 		if (is_checkpoint_due(&batch->runs[i]))
-			piece_add(&pieces, &batch->runs[i]);
-	if (pieces.count == 0)
+			chunk_add(&chunk_writes, &batch->runs[i]);
+	if (chunk_writes.count == 0)
 		return;
-	batch->checkpoint.context = batch;
-	batch->checkpoint.on_done = checkpoint_answer;
-	if (!pieces_send(&pieces, batch, &batch->checkpoint)) {
-		pieces_sent(batch, false);
+	batch->checkpoint_call.context = batch;
+	batch->checkpoint_call.on_done = checkpoint_answer;
+	if (!chunks_send(&chunk_writes, batch, &batch->checkpoint_call)) {
+		chunks_mark_sent(batch, false);
 		kwb_log(KWB_LOG_INFO, "batch",
 		    "event=checkpoint_lost batch=%s error=not_sent",
-		    batch->head.id);
+		    batch->record.id);
 	}
 }
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -10,16 +10,16 @@
 
 #include "batch.h"
 
-static void read_results(struct kwb_read *read);
-static void read_object(struct kwb_read *read);
+static void read_results(struct kwb_batch_read *read);
+static void read_item_body(struct kwb_batch_read *read);
 
 static void
-read_done(struct kwb_read *read, int error)
+read_done(struct kwb_batch_read *read, int error)
 {
 	read->error = error;
-	if (read->linked)
+	if (read->in_list)
 		TAILQ_REMOVE(&read->batches->reads, read, entry);
-	read->linked = false;
+	read->in_list = false;
 	if (error != 0)
 		kwb_log(KWB_LOG_INFO, "read",
 		    "event=failed batch=%s item=%s after=%u error=%s",
@@ -29,7 +29,7 @@
 }
 
 static void
-read_again(struct kwb_read *read, int error)
+read_retry(struct kwb_batch_read *read, int error)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
@@ -41,13 +41,14 @@
 }
 
 static void
-text_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+result_object_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_read *read = call->context;
+	struct kwb_batch_read *read = call->context;
 	const char *text = kwb_buf_text(&answer->object);
 
 	if (answer->error != 0) {
-		read_again(read,
+		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
 			? KWB_ERR_STORE_UNKNOWN /* its row is there */
 			: answer->error);
@@ -61,19 +62,20 @@
 
 /* One result that is too long for a row: it comes alone. */
 static void
-read_text(struct kwb_read *read, const char *name)
+read_result_object(struct kwb_batch_read *read, const char *name)
 {
 	struct kwb_store *store = read->batches->env->store;
 	int code;
 
-	read->call.on_done = text_answer;
+	read->call.on_done = result_object_answer;
 	code = store->ops->object_get(store, name, &read->call);
 	if (code != 0)
-		read_again(read, code);
+		read_retry(read, code);
 }
 
 static void
-results_send(struct kwb_read *read, const struct kwb_store_answer *answer)
+results_format(
+    struct kwb_batch_read *read, const struct kwb_store_answer *answer)
 {
 	const struct kwb_dialect *dialect =
 	    read->batches->env->forward->dialect;
@@ -93,11 +95,11 @@
 		bytes += answer->rows[count].value_bytes;
 		if (count > 0 && bytes > KWB_RESULTS_MAX_BYTES)
 			break;
-		if (answer->rows[count].value[0] == OBJECT_MARK) {
+		if (answer->rows[count].value[0] == OBJECT_PREFIX) {
 			if (count > 0)
 				break;
 			free(results);
-			read_text(read, answer->rows[0].value + 1);
+			read_result_object(read, answer->rows[0].value + 1);
 			return;
 		}
 		results[count] = answer->rows[count].value;
@@ -114,22 +116,22 @@
 results_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_read *read = call->context;
+	struct kwb_batch_read *read = call->context;
 
 	if (answer->error != 0) {
-		read_again(read, answer->error);
+		read_retry(read, answer->error);
 		return;
 	}
 	if (answer->rows_count > 0 || read->after >= read->total ||
 	    kwb_clock_now_ns() + KWB_READ_POLL_NS >= read->wait_deadline_ns) {
-		results_send(read, answer);
+		results_format(read, answer);
 		return;
 	}
 	kwb_timer_at(read->timer, kwb_clock_now_ns() + KWB_READ_POLL_NS);
 }
 
 static void
-read_results(struct kwb_read *read)
+read_results(struct kwb_batch_read *read)
 {
 	struct kwb_store *store = read->batches->env->store;
 	char from[POSITION_DIGITS + 8];
@@ -139,67 +141,68 @@
 	    .limit = KWB_RESULTS_MAX};
 	int code;
 
-	if (!read->linked) {
+	if (!read->in_list) {
 		TAILQ_INSERT_TAIL(&read->batches->reads, read, entry);
-		read->linked = true;
+		read->in_list = true;
 	}
 	snprintf(from, sizeof(from), "%0*u", POSITION_DIGITS, read->after);
 	read->call.on_done = results_answer;
 	code = store->ops->range(store, &range, &read->call);
 	if (code != 0)
-		read_again(read, code);
+		read_retry(read, code);
 }
 
 static void
-head_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+record_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_read *read = call->context;
-	struct kwb_batch_head head;
+	struct kwb_batch_read *read = call->context;
+	struct kwb_batch_record record;
 
 	if (answer->error != 0) {
-		read_again(read, answer->error);
+		read_retry(read, answer->error);
 		return;
 	}
 	if (answer->rows_count == 0) {
 		read_done(read, KWB_ERR_STORE_MISSING);
 		return;
 	}
-	if (kwb_batch_head_parse(&head, &answer->rows[0]) != 0) {
+	if (kwb_batch_record_parse(&record, &answer->rows[0]) != 0) {
 		read_done(read, KWB_ERR_STORE_VALUE);
 		return;
 	}
-	heads_put(read->batches, &head);
-	if (sweep_is_due(read->batches, &head)) {
+	records_update(read->batches, &record);
+	if (batch_is_expired(read->batches, &record)) {
 		read_done(read, KWB_ERR_STORE_MISSING);
 		return;
 	}
-	read->total = head.total;
-	read->head_read = true;
+	read->total = record.total;
+	read->record_known = true;
 	if (read->item[0] != '\0')
-		read_object(read);
+		read_item_body(read);
 	else
 		read_results(read);
 }
 
 /* Asks the store itself: only that makes "no such batch" certain. */
 static void
-read_head(struct kwb_read *read)
+read_record(struct kwb_batch_read *read)
 {
 	struct kwb_store *store = read->batches->env->store;
 	char to[KWB_KEY_MAX_BYTES + 1];
 	struct kwb_range range = {
-	    .table = TABLE_HEADS, .part = "", .from = read->batch, .to = to};
+	    .table = TABLE_RECORDS, .part = "", .from = read->batch, .to = to};
 	int code;
 
 	snprintf(to, sizeof(to), "%s\x01", read->batch);
-	read->call.on_done = head_answer;
+	read->call.on_done = record_answer;
 	code = store->ops->range(store, &range, &read->call);
 	if (code != 0)
-		read_again(read, code);
+		read_retry(read, code);
 }
 
 static int
-item_body(const struct kwb_batch_spec *spec, struct kwb_read *read)
+add_item_body(const struct kwb_batch_spec *spec, struct kwb_batch_read *read)
 {
 	uint32_t i;
 
@@ -211,31 +214,31 @@
 }
 
 static void
-object_answer(
+submission_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_read *read = call->context;
+	struct kwb_batch_read *read = call->context;
 	struct kwb_batch_spec spec;
 	int code;
 
 	if (answer->error != 0) {
-		read_again(read,
+		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
-			? KWB_ERR_STORE_UNKNOWN /* its head is there */
+			? KWB_ERR_STORE_UNKNOWN /* its record is there */
 			: answer->error);
 		return;
 	}
 	code = read->batches->env->forward->dialect->read_batch(
 	    kwb_buf_text(&answer->object), answer->object.used_bytes, &spec);
 	if (code == 0) {
-		code = item_body(&spec, read);
+		code = add_item_body(&spec, read);
 		kwb_batch_spec_finish(&spec);
 	}
 	read_done(read, code);
 }
 
 static void
-read_object(struct kwb_read *read)
+read_item_body(struct kwb_batch_read *read)
 {
 	struct kwb_store *store = read->batches->env->store;
 	const struct kwb_batch *batch = batch_find(read->batches, read->batch);
@@ -243,29 +246,29 @@
 	int code;
 
 	if (batch != NULL && batch->runs != NULL) {
-		read_done(read, item_body(&batch->spec, read));
+		read_done(read, add_item_body(&batch->spec, read));
 		return;
 	}
-	object_name(name, sizeof(name), read->batch);
-	read->call.on_done = object_answer;
+	batch_object_name(name, sizeof(name), read->batch);
+	read->call.on_done = submission_answer;
 	code = store->ops->object_get(store, name, &read->call);
 	if (code != 0)
-		read_again(read, code);
+		read_retry(read, code);
 }
 
 static void
-read_step(struct kwb_read *read)
+read_step(struct kwb_batch_read *read)
 {
-	if (!read->head_read)
-		read_head(read);
+	if (!read->record_known)
+		read_record(read);
 	else if (read->item[0] != '\0')
-		read_object(read);
+		read_item_body(read);
 	else
 		read_results(read);
 }
 
 static void
-read_time(int fd, short what, void *context)
+on_read_timer(int fd, short what, void *context)
 {
 	(void)fd;
 	(void)what;
@@ -273,32 +276,32 @@
 }
 
 void
-kwb_read_start(struct kwb_read *read)
+kwb_batch_read_start(struct kwb_batch_read *read)
 {
 	const struct kwb_batch_env *env = read->batches->env;
-	const struct kwb_batch_head *head =
-	    kwb_batches_head(read->batches, read->batch);
+	const struct kwb_batch_record *record =
+	    kwb_batches_find_record(read->batches, read->batch);
 
 	read->call.context = read;
-	read->timer = kwb_timer_new(env->base, read_time, read);
+	read->timer = kwb_timer_new(env->base, on_read_timer, read);
 	if (read->timer == NULL) {
 		read_done(read, KWB_ERR_MEMORY);
 		return;
 	}
-	if (head != NULL && !sweep_is_due(read->batches, head)) {
-		read->total = head->total;
-		read->head_read = true;
+	if (record != NULL && !batch_is_expired(read->batches, record)) {
+		read->total = record->total;
+		read->record_known = true;
 	}
 	read_step(read);
 }
 
 void
-kwb_read_finish(struct kwb_read *read)
+kwb_batch_read_finish(struct kwb_batch_read *read)
 {
 	kwb_store_cancel(read->batches->env->store, &read->call);
-	if (read->linked)
+	if (read->in_list)
 		TAILQ_REMOVE(&read->batches->reads, read, entry);
-	read->linked = false;
+	read->in_list = false;
 	if (read->timer != NULL)
 		event_free(read->timer);
 	read->timer = NULL;
@@ -308,7 +311,7 @@
 void
 reads_wake(struct kwb_batches *batches, const char *batch)
 {
-	struct kwb_read *read;
+	struct kwb_batch_read *read;
 
 	TAILQ_FOREACH (read, &batches->reads, entry)
 		if (strcmp(read->batch, batch) == 0 &&
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -22,7 +22,7 @@
 	kwb_log(KWB_LOG_INFO, "item",
 	    "event=%s id=%s batch=%s group=%s upstream=%s events=%llu "
 	    "version=%llu hint=%llu reason=%s",
-	    event, run->item->id, run->batch->head.id,
+	    event, run->item->id, run->batch->record.id,
 	    run->item->group ? run->item->group : "-",
 	    run->upstream ? run->upstream->status.id : "-",
 	    (unsigned long long)run->last_event,
@@ -41,9 +41,9 @@
 		    run_env(run)->forward->registry, run->upstream);
 		run->upstream = NULL;
 	}
-	if (run->score_open)
+	if (run->score_active)
 		kwb_forward_finish(&run->score);
-	run->score_open = false;
+	run->score_active = false;
 	if (run->state == ITEM_RUNNING)
 		run->state = ITEM_WAITING;
 }
@@ -60,12 +60,12 @@
 static uint64_t
 ttl_deadline_ms(const struct item_run *run)
 {
-	const struct kwb_batch_head *head = &run->batch->head;
+	const struct kwb_batch_record *record = &run->batch->record;
 	const struct kwb_node_config *config = *run_env(run)->config;
 	const struct kwb_route_entry *route =
-	    kwb_node_config_route(config, head->host, run->item->target);
+	    kwb_node_config_route(config, record->host, run->item->target);
 
-	return head->accepted_ms +
+	return record->accepted_ms +
 	    (route != NULL ? route->item_ttl_ms : KWB_ITEM_TTL_MS);
 }
 
@@ -76,21 +76,21 @@
 }
 
 void
-run_ready(struct item_run *run, enum kwb_item_state result, const char *reason)
+run_settle(struct item_run *run, enum kwb_item_state result, const char *reason)
 {
 	uint64_t now_ms = kwb_store_now_ms(run_env(run)->store);
 
 	/* Another node accepted it, by a clock that this one may be behind. */
-	if (now_ms >= run->batch->head.accepted_ms)
+	if (now_ms >= run->batch->record.accepted_ms)
 		kwb_histogram_add(KWB_HISTOGRAM_ITEM,
-		    (now_ms - run->batch->head.accepted_ms) * KWB_MS_NS);
+		    (now_ms - run->batch->record.accepted_ms) * KWB_MS_NS);
 	run->result = result;
 	run_log(run, result == KWB_ITEM_COMPLETED ? "completed" : "errored",
 	    reason);
 	run_stop(run);
 	run->state = ITEM_READY;
-	batch_list(run->batch);
-	kwb_batches_kick(run->batch->batches);
+	batch_list_results(run->batch);
+	kwb_batches_dispatch(run->batch->batches);
 }
 
 void
@@ -98,16 +98,16 @@
 {
 	run_log(run, "retry", reason);
 	run_stop(run);
-	run->retry_ns = kwb_clock_now_ns() + wait_ns;
+	run->not_before_ns = kwb_clock_now_ns() + wait_ns;
 	if (run_is_past_ttl(run)) {
-		run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
+		run_settle(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
-	kwb_batches_kick(run->batch->batches);
+	kwb_batches_dispatch(run->batch->batches);
 }
 
 static void
-note_version(struct item_run *run)
+add_version(struct item_run *run)
 {
 	uint32_t i;
 
@@ -129,24 +129,24 @@
 		kwb_upstream_set_version(
 		    run->upstream, run->batch->spec.model, event->version);
 	}
-	if (run->order_broken ||
+	if (run->stream_broken ||
 	    (event->has_id && event->id <= run->last_event))
 		return;
 	if (event->has_id && event->id != run->last_event + 1) {
-		run->order_broken = true;
+		run->stream_broken = true;
 		return;
 	}
 	if ((run->last_event > 0 && kwb_buf_add(&run->text, "\n", 1) != 0) ||
 	    kwb_buf_add(&run->text, event->data.data, event->data.used_bytes) !=
 		0) {
-		run->order_broken = true;
+		run->stream_broken = true;
 		return;
 	}
-	if (run->event_ns != 0)
-		kwb_upstream_pace(run->upstream, now_ns - run->event_ns);
-	run->event_ns = now_ns;
+	if (run->last_event_ns != 0)
+		kwb_upstream_pace(run->upstream, now_ns - run->last_event_ns);
+	run->last_event_ns = now_ns;
 	run->last_event++;
-	note_version(run);
+	add_version(run);
 }
 
 /* The first bytes of an answer say under which weights the events come. */
@@ -177,7 +177,7 @@
 		    kwb_upstream_version(run->upstream, run->batch->spec.model);
 	}
 	if (run->version < run->batch->spec.min_version)
-		run->order_broken = true;
+		run->stream_broken = true;
 }
 
 static void
@@ -188,36 +188,36 @@
 
 	if (kwb_events_feed(&run->events, &kwb_exchange_message(exchange)->body,
 		on_event, run) != 0)
-		run->order_broken = true;
+		run->stream_broken = true;
 	if (run->version < run->batch->spec.min_version) {
 		run_retry(run, 0, "weights_too_old");
 		return;
 	}
-	if (run->order_broken) {
+	if (run->stream_broken) {
 		run_retry(run, 0, "events_out_of_order");
 		return;
 	}
 	if (run->versions_count < 2)
 		return;
 	route = kwb_node_config_route(
-	    *run_env(run)->config, run->batch->head.host, run->item->target);
+	    *run_env(run)->config, run->batch->record.host, run->item->target);
 	if (route != NULL && route->single_version) {
 		/* What came under another version is of no use. */
-		text_forget(run);
+		run_reset_text(run);
 		run_retry(run, 0, "versions_mixed");
 	}
 }
 
 /* An answer that is no stream: refused, failed, or never to be done. */
 static void
-run_refused(struct item_run *run, const struct kwb_upstream_answer *answer)
+handle_refusal(struct item_run *run, const struct kwb_upstream_answer *answer)
 {
 	const struct kwb_route_entry *route = kwb_node_config_route(
-	    *run_env(run)->config, run->batch->head.host, run->item->target);
+	    *run_env(run)->config, run->batch->record.host, run->item->target);
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (answer->status == 422) {
-		run_ready(run, KWB_ITEM_ERRORED, "can_never_be_done");
+		run_settle(run, KWB_ITEM_ERRORED, "can_never_be_done");
 		return;
 	}
 	if (answer->not_run) {
@@ -229,7 +229,7 @@
 	if (answer->status == 500) {
 		run->errors++;
 		if (route != NULL && run->errors >= route->max_attempts) {
-			run_ready(run, KWB_ITEM_ERRORED, "failed_too_often");
+			run_settle(run, KWB_ITEM_ERRORED, "failed_too_often");
 			return;
 		}
 	}
@@ -255,14 +255,14 @@
 		}
 		run_log(run, "text_whole", "answered");
 		run_stop(run);
-		run->whole_ns = kwb_clock_now_ns();
-		run_score(run);
-		kwb_batches_kick(run->batch->batches);
+		run->text_complete_ns = kwb_clock_now_ns();
+		run_request_score(run);
+		kwb_batches_dispatch(run->batch->batches);
 		return;
 	}
 	run_env(run)->forward->dialect->read_answer(
 	    kwb_exchange_message(exchange), &answer);
-	run_refused(run, &answer);
+	handle_refusal(run, &answer);
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
@@ -276,7 +276,7 @@
 {
 	struct kwb_item_rank rank;
 
-	run_rank(run, &rank);
+	run_get_rank(run, &rank);
 	return kwb_item_priority(&rank);
 }
 
@@ -290,7 +290,7 @@
 	    ttl_deadline_ms(run) - kwb_store_now_ms(run_env(run)->store);
 	struct kwb_upstream_request request = {.method = "POST",
 	    .target = run->item->target,
-	    .host = batch->head.host,
+	    .host = batch->record.host,
 	    .id = run->item->id,
 	    .headers = &run->item->headers,
 	    .body = run->item->body,
@@ -311,12 +311,12 @@
 	memset(&run->exchange, 0, sizeof(run->exchange));
 	run->exchange.ops = &exchange_ops;
 	run->exchange.context = run;
-	run->exchange.silence_ns = KWB_ITEM_SILENCE_NS;
+	run->exchange.silence_ns = KWB_STREAM_IDLE_NS;
 	run->upstream = upstream;
 	run->state = ITEM_RUNNING;
-	run->order_broken = false;
-	run->event_ns = 0;
-	run->begin_ns = kwb_clock_now_ns();
+	run->stream_broken = false;
+	run->last_event_ns = 0;
+	run->started_ns = kwb_clock_now_ns();
 	kwb_events_init(&run->events, env->dialect->version_field);
 	kwb_upstream_hold(upstream);
 	upstream->in_flight++;
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -19,7 +19,7 @@
 		    &forward->answer, &answer);
 	if (answer.status / 100 == 2 && answer.receipt != NULL) {
 		run->receipt = strdup(answer.receipt);
-		run_ready(run, KWB_ITEM_COMPLETED, "scored");
+		run_settle(run, KWB_ITEM_COMPLETED, "scored");
 		return;
 	}
 	route = kwb_node_config_route(*run_env(run)->config,
@@ -27,31 +27,31 @@
 	if (answer.status == 500)
 		run->score_errors++;
 	if (route != NULL && run->score_errors >= route->max_attempts) {
-		run_ready(run, KWB_ITEM_ERRORED, "score_failed_too_often");
+		run_settle(run, KWB_ITEM_ERRORED, "score_failed_too_often");
 		return;
 	}
-	run->retry_ns = kwb_clock_now_ns() + KWB_ITEM_RETRY_NS;
-	kwb_batches_kick(run->batch->batches);
+	run->not_before_ns = kwb_clock_now_ns() + KWB_ITEM_RETRY_NS;
+	kwb_batches_dispatch(run->batch->batches);
 }
 
 /* Time that the trainer has left for this step. */
 static uint64_t
-due_in_ns(const struct item_run *run)
+time_left_ns(const struct item_run *run)
 {
 	const struct kwb_batch_env *env = run_env(run);
-	const struct kwb_batch_head *head = &run->batch->head;
-	const struct kwb_route_entry *route =
-	    kwb_node_config_route(*env->config, head->host, run->item->target);
+	const struct kwb_batch_record *record = &run->batch->record;
+	const struct kwb_route_entry *route = kwb_node_config_route(
+	    *env->config, record->host, run->item->target);
 	uint64_t now_ms = kwb_store_now_ms(env->store);
 	uint64_t due_ms =
-	    head->accepted_ms + (route != NULL ? route->run_deadline_ms : 0);
+	    record->accepted_ms + (route != NULL ? route->run_deadline_ms : 0);
 
 	return due_ms > now_ms ? (due_ms - now_ms) * KWB_MS_NS : 0;
 }
 
 /* Whether callers would miss the place that this reward takes. */
 static bool
-score_waits(const struct item_run *run, const char *service)
+score_must_wait(const struct item_run *run, const char *service)
 {
 	const struct kwb_batch_env *env = run_env(run);
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -59,21 +59,22 @@
 	    .service = service,
 	    .failure_domain = env->forward->failure_domain,
 	    .within_slots = true,
-	    .spare_part = KWB_REWARD_SPARE_PART,
+	    .spare_part = KWB_SCORE_SPARE_PART,
 	    .now_ns = now_ns,
 	    .random = (uint64_t)random(),
 	};
-	struct kwb_reward_input input = {
-	    .waited_ns = now_ns - run->whole_ns, .left_ns = due_in_ns(run)};
+	struct kwb_score_input input = {
+	    .waited_ns = now_ns - run->text_complete_ns,
+	    .left_ns = time_left_ns(run)};
 
-	input.has_place =
+	input.has_room =
 	    kwb_upstream_pick(env->forward->registry, &pick) != NULL;
-	return !kwb_reward_goes(&input);
+	return !kwb_score_can_start(&input);
 }
 
-/* Asks for the reward; retried by the pump when it does not come. */
+/* Asks for the reward; retried by the dispatch_timer when it does not come. */
 void
-run_score(struct item_run *run)
+run_request_score(struct item_run *run)
 {
 	const struct kwb_batch_env *env = run_env(run);
 	const struct kwb_batch_item *item = run->item;
@@ -84,27 +85,27 @@
 
 	run->state = ITEM_SCORING;
 	if (item->score_id == NULL) {
-		run_ready(run, KWB_ITEM_COMPLETED, "not_scored");
+		run_settle(run, KWB_ITEM_COMPLETED, "not_scored");
 		return;
 	}
-	if (run->score_open)
+	if (run->score_active)
 		kwb_forward_finish(score);
-	run->score_open = false;
+	run->score_active = false;
 	route = kwb_node_config_route(
 	    *env->config, item->score_host, item->score_target);
-	run->retry_ns = now_ns + KWB_ITEM_RETRY_NS;
+	run->not_before_ns = now_ns + KWB_ITEM_RETRY_NS;
 	if (route == NULL) {
 		run_log(run, "score_waits", "no_route");
 		if (run_is_past_ttl(run))
-			run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
+			run_settle(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
 	service = kwb_route_entry_service(route, (uint64_t)random());
-	if (score_waits(run, service)) {
-		run->retry_ns = now_ns; /* looked at as soon as one ends */
+	if (score_must_wait(run, service)) {
+		run->not_before_ns = now_ns; /* looked at as soon as one ends */
 		return;
 	}
-	run->retry_ns = UINT64_MAX;
+	run->not_before_ns = UINT64_MAX;
 	memset(score, 0, sizeof(*score));
 	score->on_done = score_done;
 	score->context = run;
@@ -125,6 +126,6 @@
 		KWB_MS_NS;
 	score->request.deadline_ns = score->deadline_ns;
 	score->hedge_ns = now_ns + route->target_ms * KWB_MS_NS;
-	run->score_open = true;
+	run->score_active = true;
 	kwb_forward_start(score);
 }
--- a/src/batch/sweep.c
+++ b/src/batch/sweep.c
@@ -1,6 +1,7 @@
 /*
  * Removes batches that nobody may ask for any more: what belongs to them first,
- * their heads last, so that a sweep cut short is begun again by the next node.
+ * their records last, so that a sweep cut short is begun again by the next
+ * node.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,10 +13,10 @@
 static void sweep_step(struct kwb_batches *batches);
 
 static void
-sweep_end(struct kwb_batches *batches, int error)
+sweep_complete(struct kwb_batches *batches, int error)
 {
 	kwb_log(KWB_LOG_INFO, "sweep", "event=%s batch=%s error=%s",
-	    error == 0 ? "removed" : "not_removed", batches->sweep_head.id,
+	    error == 0 ? "removed" : "not_removed", batches->sweep_record.id,
 	    kwb_error_name(error));
 	batches->sweep_step = KWB_SWEEP_NONE;
 }
@@ -27,28 +28,29 @@
 	struct kwb_batches *batches = call->context;
 
 	if (answer->error != 0 && answer->error != KWB_ERR_STORE_MISSING) {
-		sweep_end(batches, answer->error);
+		sweep_complete(batches, answer->error);
 		return;
 	}
-	if (batches->sweep_step == KWB_SWEEP_HEAD) {
-		sweep_end(batches, 0);
+	if (batches->sweep_step == KWB_SWEEP_RECORD) {
+		sweep_complete(batches, 0);
 		return;
 	}
 	if (batches->sweep_step == KWB_SWEEP_OBJECT)
-		batches->sweep_step = KWB_SWEEP_HEAD;
+		batches->sweep_step = KWB_SWEEP_RECORD;
 	sweep_step(batches);
 }
 
 /* The object of a long result goes before the row that names it. */
 static void
-sweep_drop_text(struct kwb_batches *batches, const char *name)
+sweep_drop_result_object(struct kwb_batches *batches, const char *name)
 {
 	struct kwb_store *store = batches->env->store;
 
-	kwb_text_copy(batches->sweep_text, sizeof(batches->sweep_text), name);
+	kwb_text_copy(batches->sweep_dropped_object,
+	    sizeof(batches->sweep_dropped_object), name);
 	batches->sweep.on_done = removed_answer;
 	if (store->ops->object_drop(store, name, &batches->sweep) != 0)
-		sweep_end(batches, KWB_ERR_STORE_REFUSED);
+		sweep_complete(batches, KWB_ERR_STORE_REFUSED);
 }
 
 /* Removes the rows that were read; none means that the next step is due. */
@@ -62,7 +64,7 @@
 	uint32_t i;
 
 	if (answer->error != 0) {
-		sweep_end(batches, answer->error);
+		sweep_complete(batches, answer->error);
 		return;
 	}
 	if (answer->rows_count == 0) {
@@ -73,28 +75,28 @@
 	memset(&tx, 0, sizeof(tx));
 	for (i = 0; i < answer->rows_count; i++) {
 		name = batches->sweep_step == KWB_SWEEP_DONE
-		    ? strchr(answer->rows[i].value, OBJECT_MARK)
+		    ? strchr(answer->rows[i].value, OBJECT_PREFIX)
 		    : NULL;
 		if (name != NULL &&
-		    strcmp(name + 1, batches->sweep_text) != 0) {
-			sweep_drop_text(batches, name + 1);
+		    strcmp(name + 1, batches->sweep_dropped_object) != 0) {
+			sweep_drop_result_object(batches, name + 1);
 			return;
 		}
 		kwb_tx_remove(&tx, answer->rows[i].table,
-		    batches->sweep_head.id, answer->rows[i].key);
+		    batches->sweep_record.id, answer->rows[i].key);
 		if (name != NULL)
 			break; /* its object is gone, now the row */
 	}
 	call->on_done = removed_answer;
 	if (store->ops->transact(store, &tx, call) != 0)
-		sweep_end(batches, KWB_ERR_STORE_REFUSED);
+		sweep_complete(batches, KWB_ERR_STORE_REFUSED);
 }
 
 static int
 sweep_rows(struct kwb_batches *batches, const char *table)
 {
 	struct kwb_range range = {.table = table,
-	    .part = batches->sweep_head.id,
+	    .part = batches->sweep_record.id,
 	    .limit = SWEEP_ROWS};
 
 	batches->sweep.on_done = rows_answer;
@@ -112,12 +114,12 @@
 
 	memset(&tx, 0, sizeof(tx));
 	for (i = 0; i < SWEEP_ROWS &&
-	     batches->sweep_position < batches->sweep_head.total;
+	     batches->sweep_position < batches->sweep_record.total;
 	     i++) {
 		snprintf(keys[i], sizeof(keys[i]), "%0*u", POSITION_DIGITS,
 		    batches->sweep_position++);
 		kwb_tx_remove(
-		    &tx, TABLE_RESULTS, batches->sweep_head.id, keys[i]);
+		    &tx, TABLE_RESULTS, batches->sweep_record.id, keys[i]);
 	}
 	if (i == 0) {
 		batches->sweep_step++;
@@ -134,21 +136,21 @@
 {
 	char name[KWB_KEY_MAX_BYTES + 8];
 
-	object_name(name, sizeof(name), batches->sweep_head.id);
+	batch_object_name(name, sizeof(name), batches->sweep_record.id);
 	batches->sweep.on_done = removed_answer;
 	return batches->env->store->ops->object_drop(
 	    batches->env->store, name, &batches->sweep);
 }
 
 static int
-sweep_head(struct kwb_batches *batches)
+sweep_record(struct kwb_batches *batches)
 {
 	static struct kwb_tx tx;
-	const struct kwb_batch_head *head = &batches->sweep_head;
+	const struct kwb_batch_record *record = &batches->sweep_record;
 
 	memset(&tx, 0, sizeof(tx));
-	kwb_tx_expect(&tx, TABLE_HEADS, "", head->id, head->revision);
-	kwb_tx_remove(&tx, TABLE_HEADS, "", head->id);
+	kwb_tx_expect(&tx, TABLE_RECORDS, "", record->id, record->revision);
+	kwb_tx_remove(&tx, TABLE_RECORDS, "", record->id);
 	batches->sweep.on_done = removed_answer;
 	return batches->env->store->ops->transact(
 	    batches->env->store, &tx, &batches->sweep);
@@ -174,52 +176,53 @@
 	case KWB_SWEEP_OBJECT:
 		code = sweep_object(batches);
 		break;
-	case KWB_SWEEP_HEAD:
-		code = sweep_head(batches);
+	case KWB_SWEEP_RECORD:
+		code = sweep_record(batches);
 		break;
 	}
 	if (code != 0)
-		sweep_end(batches, code);
+		sweep_complete(batches, code);
 }
 
 bool
-sweep_is_due(
-    const struct kwb_batches *batches, const struct kwb_batch_head *head)
+batch_is_expired(
+    const struct kwb_batches *batches, const struct kwb_batch_record *record)
 {
 	uint64_t keep_ms =
 	    (uint64_t)batches->env->settings->batch_keep_ms * 5 / 4;
 
-	return head->accepted_ms + keep_ms <
+	return record->accepted_ms + keep_ms <
 	    kwb_store_now_ms(batches->env->store);
 }
 
 /* Begins with the oldest batch that is due and that this node is to remove. */
 void
-sweep_look(struct kwb_batches *batches)
+sweep_start_next(struct kwb_batches *batches)
 {
-	const struct kwb_batch_head *oldest = NULL;
-	const struct kwb_batch_head *head;
+	const struct kwb_batch_record *oldest = NULL;
+	const struct kwb_batch_record *record;
 	uint32_t i;
 
-	if (batches->sweep_step != KWB_SWEEP_NONE || batches->leaving ||
-	    kwb_clock_now_ns() - batches->swept_ns < KWB_SWEEP_NS)
+	if (batches->sweep_step != KWB_SWEEP_NONE || batches->handing_over ||
+	    kwb_clock_now_ns() - batches->sweep_checked_ns < KWB_SWEEP_CHECK_NS)
 		return;
-	for (i = 0; i < batches->heads_count; i++) {
-		head = batches->heads[i];
-		if (sweep_is_due(batches, head) &&
-		    (strcmp(head->owner, batches->env->settings->node) == 0 ||
-			!own_is_alive(batches, head->owner)) &&
-		    batch_find(batches, head->id) == NULL &&
-		    (oldest == NULL || head->accepted_ms < oldest->accepted_ms))
-			oldest = head;
+	for (i = 0; i < batches->records_count; i++) {
+		record = batches->records[i];
+		if (batch_is_expired(batches, record) &&
+		    (strcmp(record->owner, batches->env->settings->node) == 0 ||
+			!owner_is_alive(batches, record->owner)) &&
+		    batch_find(batches, record->id) == NULL &&
+		    (oldest == NULL ||
+			record->accepted_ms < oldest->accepted_ms))
+			oldest = record;
 	}
-	batches->swept_ns = kwb_clock_now_ns();
+	batches->sweep_checked_ns = kwb_clock_now_ns();
 	if (oldest == NULL)
 		return;
-	batches->sweep_head = *oldest;
+	batches->sweep_record = *oldest;
 	batches->sweep_step = KWB_SWEEP_DONE;
 	batches->sweep_position = 0;
-	batches->sweep_text[0] = '\0';
+	batches->sweep_dropped_object[0] = '\0';
 	batches->sweep.context = batches;
 	sweep_step(batches);
 }
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -290,7 +290,7 @@
 	    forward->deadline_ns + KWB_FORWARD_MARGIN_NS;
 	attempt->exchange.fresh = !forward->repeatable;
 	if (forward->resumes)
-		attempt->exchange.silence_ns = KWB_ITEM_SILENCE_NS;
+		attempt->exchange.silence_ns = KWB_STREAM_IDLE_NS;
 	attempt->exchange.no_body =
 	    strcmp(forward->request.method, "HEAD") == 0;
 	attempt->started_ns = kwb_clock_now_ns();
--- a/src/node/caller.c
+++ b/src/node/caller.c
@@ -18,11 +18,11 @@
 	if (caller->forward != NULL)
 		kwb_forward_finish(caller->forward);
 	if (caller->accept != NULL)
-		kwb_accept_finish(caller->accept);
+		kwb_batch_accept_finish(caller->accept);
 	if (caller->end != NULL)
-		kwb_end_finish(caller->end);
+		kwb_batch_end_finish(caller->end);
 	if (caller->read != NULL)
-		kwb_read_finish(caller->read);
+		kwb_batch_read_finish(caller->read);
 	free(caller->forward);
 	free(caller->accept);
 	free(caller->end);
--- a/src/node/caller.h
+++ b/src/node/caller.h
@@ -22,9 +22,9 @@
 	char route[KWB_NAME_MAX_BYTES];
 	/* the request in progress is one of these */
 	struct kwb_forward *forward;
-	struct kwb_accept *accept;
-	struct kwb_end *end;
-	struct kwb_read *read;
+	struct kwb_batch_accept *accept;
+	struct kwb_batch_end *end;
+	struct kwb_batch_read *read;
 	TAILQ_ENTRY(kwb_caller) entry;
 };
 
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -43,7 +43,7 @@
 	    "event=config version=%llu routes=%u services=%u row=%llu",
 	    (unsigned long long)config->version, config->routes_count,
 	    config->services_count, (unsigned long long)row->revision);
-	kwb_batches_kick(&node->batches);
+	kwb_batches_dispatch(&node->batches);
 }
 
 static void
@@ -120,7 +120,7 @@
 		    "event=upstream id=%s service=%s state=%s", status.id,
 		    status.service, status.draining ? "draining" : "ready");
 	kwb_mover_upstream(&node->mover, upstream);
-	kwb_batches_kick(&node->batches);
+	kwb_batches_dispatch(&node->batches);
 }
 
 static void
@@ -156,7 +156,7 @@
 	if (now_ns >= node->stop_deadline_ns)
 		return true;
 	return now_ns - node->stop_begin_ns >= KWB_STOP_LEAST_NS &&
-	    node->callers_busy == 0 && kwb_batches_idle(&node->batches);
+	    node->callers_busy == 0 && kwb_batches_is_idle(&node->batches);
 }
 
 static void
@@ -168,7 +168,7 @@
 	(void)fd;
 	(void)what;
 	sweep_gone(node);
-	node->batches.nodes = kwb_peers_fleet(&node->peers);
+	node->batches.fleet_nodes = kwb_peers_fleet(&node->peers);
 	if (node->stop_deadline_ns != 0 && may_end(node, now_ns)) {
 		kwb_log(KWB_LOG_INFO, "node",
 		    "event=stopped after_ms=%llu busy=%u",
@@ -187,7 +187,7 @@
 {
 	struct kwb_node *node = context;
 
-	kwb_batches_beat(&node->batches);
+	kwb_batches_send_heartbeat(&node->batches);
 }
 
 static int
@@ -304,7 +304,7 @@
 	    node->callers_busy, node->settings->grace_ms);
 	kwb_relay_stop(&node->relay);
 	kwb_mover_leave(&node->mover);
-	kwb_batches_leave(&node->batches);
+	kwb_batches_hand_over(&node->batches);
 }
 
 void
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -112,7 +112,7 @@
 }
 
 static void
-accept_done(struct kwb_accept *accept)
+accept_done(struct kwb_batch_accept *accept)
 {
 	struct kwb_caller *caller = accept->context;
 
@@ -135,7 +135,7 @@
 static void
 serve_accept(struct kwb_caller *caller)
 {
-	struct kwb_accept *accept = calloc(1, sizeof(*accept));
+	struct kwb_batch_accept *accept = calloc(1, sizeof(*accept));
 	struct kwb_message *message = &caller->conn.message;
 
 	if (accept == NULL) {
@@ -147,18 +147,18 @@
 	accept->context = caller;
 	accept->batches = &caller->node->batches;
 	kwb_text_copy(
-	    accept->head.id, sizeof(accept->head.id), caller->call.id);
-	kwb_text_copy(
-	    accept->head.host, sizeof(accept->head.host), caller->call.host);
-	kwb_text_copy(accept->head.target, sizeof(accept->head.target),
+	    accept->record.id, sizeof(accept->record.id), caller->call.id);
+	kwb_text_copy(accept->record.host, sizeof(accept->record.host),
+	    caller->call.host);
+	kwb_text_copy(accept->record.target, sizeof(accept->record.target),
 	    kwb_message_target(message));
 	accept->body = kwb_buf_text(&message->body);
 	accept->body_bytes = message->body.used_bytes;
-	kwb_accept_start(accept);
+	kwb_batch_accept_start(accept);
 }
 
 static void
-end_done(struct kwb_end *end)
+end_done(struct kwb_batch_end *end)
 {
 	struct kwb_caller *caller = end->context;
 
@@ -173,7 +173,7 @@
 static void
 serve_end(struct kwb_caller *caller)
 {
-	struct kwb_end *end = calloc(1, sizeof(*end));
+	struct kwb_batch_end *end = calloc(1, sizeof(*end));
 
 	if (end == NULL) {
 		answer_own(caller, 503, "out_of_memory");
@@ -184,12 +184,13 @@
 	end->context = caller;
 	end->batches = &caller->node->batches;
 	end->deadline_ns = caller->begin_ns + KWB_END_TRY_MS * KWB_MS_NS;
-	kwb_text_copy(end->head.id, sizeof(end->head.id), caller->call.batch);
-	kwb_end_start(end);
+	kwb_text_copy(
+	    end->record.id, sizeof(end->record.id), caller->call.batch);
+	kwb_batch_end_start(end);
 }
 
 static void
-read_done(struct kwb_read *read)
+read_done(struct kwb_batch_read *read)
 {
 	struct kwb_caller *caller = read->context;
 	bool is_body = read->item[0] != '\0';
@@ -207,7 +208,7 @@
 static void
 serve_read(struct kwb_caller *caller)
 {
-	struct kwb_read *read = calloc(1, sizeof(*read));
+	struct kwb_batch_read *read = calloc(1, sizeof(*read));
 	uint32_t wait_ms = caller->call.wait_ms;
 
 	if (read == NULL) {
@@ -228,7 +229,7 @@
 	if (caller->call.kind == KWB_CALL_ITEM)
 		kwb_text_copy(
 		    read->item, sizeof(read->item), caller->call.item);
-	kwb_read_start(read);
+	kwb_batch_read_start(read);
 }
 
 static void
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -95,7 +95,7 @@
 		home->model[0] = '\0';
 	home->target = target;
 	mover_home_apply(mover, home);
-	kwb_batches_reconsider(mover->batches);
+	kwb_batches_rebalance(mover->batches);
 }
 
 uint64_t
@@ -186,8 +186,8 @@
 static uint64_t
 demand_of(const struct kwb_mover *mover, const char *model)
 {
-	const struct kwb_batch_head *newest =
-	    kwb_batches_newest(mover->batches, model);
+	const struct kwb_batch_record *newest =
+	    kwb_batches_newest_record(mover->batches, model);
 
 	return newest ? newest->tokens : 0;
 }
@@ -196,12 +196,12 @@
 static uint32_t
 homes_most(const struct kwb_mover *mover, const char *model, uint32_t slots)
 {
-	const struct kwb_batch_head *head;
+	const struct kwb_batch_record *head;
 	uint32_t items = 0;
 	uint32_t i;
 
-	for (i = 0; i < mover->batches->heads_count; i++) {
-		head = mover->batches->heads[i];
+	for (i = 0; i < mover->batches->records_count; i++) {
+		head = mover->batches->records[i];
 		if (head->total > items && strcmp(head->model, model) == 0)
 			items = head->total;
 	}
--- a/src/weights/mover_look.c
+++ b/src/weights/mover_look.c
@@ -10,8 +10,8 @@
 static uint64_t
 lag_of(const struct kwb_mover *mover, const char *model)
 {
-	const struct kwb_batch_head *newest =
-	    kwb_batches_newest(mover->batches, model);
+	const struct kwb_batch_record *newest =
+	    kwb_batches_newest_record(mover->batches, model);
 
 	if (newest == NULL || newest->step <= newest->min_version)
 		return newest != NULL && newest->step > 1 ? 0 : KWB_LAG_USUAL;
@@ -22,12 +22,12 @@
 static uint64_t
 needed_by(const struct kwb_mover *mover, const char *model)
 {
-	const struct kwb_batch_head *head;
+	const struct kwb_batch_record *head;
 	uint64_t needed = 0;
 	uint32_t i;
 
-	for (i = 0; i < mover->batches->heads_count; i++) {
-		head = mover->batches->heads[i];
+	for (i = 0; i < mover->batches->records_count; i++) {
+		head = mover->batches->records[i];
 		if (!head->ended && !head->listed &&
 		    head->min_version > needed &&
 		    strcmp(head->model, model) == 0)
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -64,7 +64,7 @@
 		home->look_ns = now_ns + KWB_LOAD_SEEN_NS;
 		mover_home_apply(mover, home);
 		mover_home_write(mover);
-		kwb_batches_reconsider(mover->batches);
+		kwb_batches_rebalance(mover->batches);
 		return;
 	case 200:
 		home->ordered = false;
--- a/tests/fuzz/document.c
+++ b/tests/fuzz/document.c
@@ -13,7 +13,7 @@
 {
 	struct kwb_node_config config;
 	struct kwb_upstream_status status;
-	struct kwb_batch_head head;
+	struct kwb_batch_record head;
 	struct kwb_faults faults = {0};
 	struct kwb_row row = {.key = (char *)"k",
 	    .value = (char *)text,
@@ -37,7 +37,7 @@
 		    text, length_bytes, model, sizeof(model), &version);
 		break;
 	default:
-		kwb_batch_head_parse(&head, &row);
+		kwb_batch_record_parse(&head, &row);
 		break;
 	}
 }
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -714,7 +714,7 @@
 		struct kwb_item_rank second;
 	} cases[] = {
 	    {"wanted group", {.wanted = true}, {.length_hint = 900}},
-	    {"begun", {.wanted = true, .made = 1},
+	    {"begun", {.wanted = true, .events_count = 1},
 		{.wanted = true, .length_hint = 900}},
 	    {"longer", {.wanted = true, .length_hint = 900},
 		{.wanted = true, .length_hint = 800}},
@@ -734,9 +734,9 @@
 static void
 test_priority(void)
 {
-	const struct kwb_item_rank begun = {.wanted = true, .made = 1};
+	const struct kwb_item_rank begun = {.wanted = true, .events_count = 1};
 	const struct kwb_item_rank fresh = {.wanted = true};
-	const struct kwb_item_rank spare = {.made = 1};
+	const struct kwb_item_rank spare = {.events_count = 1};
 
 	CU_ASSERT(KWB_PRIORITY_CALLER < kwb_item_priority(&begun));
 	CU_ASSERT(kwb_item_priority(&begun) < kwb_item_priority(&fresh));
@@ -807,20 +807,20 @@
 		struct kwb_move_input input;
 		bool wanted;
 	} cases[] = {
-	    {{.pace_ns = 100, .best_pace_ns = 0, .since_ns = KWB_MOVE_LEAST_NS},
+	    {{.pace_ns = 100, .best_pace_ns = 0, .elapsed_ns = KWB_MOVE_MIN_NS},
 		false},
 	    {{.pace_ns = 100,
 		 .best_pace_ns = 70,
-		 .since_ns = KWB_MOVE_LEAST_NS},
+		 .elapsed_ns = KWB_MOVE_MIN_NS},
 		false},
 	    {{.pace_ns = 200,
 		 .best_pace_ns = 70,
-		 .since_ns = KWB_MOVE_LEAST_NS},
+		 .elapsed_ns = KWB_MOVE_MIN_NS},
 		true},
-	    {{.pace_ns = 200, .best_pace_ns = 70, .since_ns = 1}, false},
+	    {{.pace_ns = 200, .best_pace_ns = 70, .elapsed_ns = 1}, false},
 	    {{.pace_ns = 200,
 		 .best_pace_ns = 70,
-		 .since_ns = KWB_MOVE_LEAST_NS,
+		 .elapsed_ns = KWB_MOVE_MIN_NS,
 		 .moves = KWB_MOVES_MAX},
 		false},
 	};
@@ -828,27 +828,27 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_move_wanted(&cases[i].input), cases[i].wanted);
+		    kwb_move_is_worthwhile(&cases[i].input), cases[i].wanted);
 }
 
 static void
 test_silence(void)
 {
 	static const struct {
-		struct kwb_silence_input input;
+		struct kwb_stall_input input;
 		bool silent;
 	} cases[] = {
-	    {{.since_ns = 590 * KWB_MS_NS, .has_begun = true}, false},
-	    {{.since_ns = 610 * KWB_MS_NS, .has_begun = true}, true},
-	    {{.since_ns = 610 * KWB_MS_NS}, false}, /* its prompt is read */
-	    {{.since_ns = 1010 * KWB_MS_NS}, true},
+	    {{.elapsed_ns = 590 * KWB_MS_NS, .has_begun = true}, false},
+	    {{.elapsed_ns = 610 * KWB_MS_NS, .has_begun = true}, true},
+	    {{.elapsed_ns = 610 * KWB_MS_NS}, false}, /* its prompt is read */
+	    {{.elapsed_ns = 1010 * KWB_MS_NS}, true},
 	    /* A load takes 900 ms. */
-	    {{.since_ns = 1400 * KWB_MS_NS,
+	    {{.elapsed_ns = 1400 * KWB_MS_NS,
 		 .has_begun = true,
 		 .is_loading = true},
 		false},
 	    /* A slow one, five times the usual pace. */
-	    {{.since_ns = 900 * KWB_MS_NS,
+	    {{.elapsed_ns = 900 * KWB_MS_NS,
 		 .pace_ns = 240 * KWB_MS_NS,
 		 .has_begun = true},
 		false},
@@ -857,7 +857,7 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_item_is_silent(&cases[i].input), cases[i].silent);
+		    kwb_item_is_stalled(&cases[i].input), cases[i].silent);
 }
 
 /*
@@ -868,8 +868,8 @@
 test_pieces(void)
 {
 	static const struct {
-		struct kwb_piece before;
-		struct kwb_piece piece;
+		struct kwb_text_chunk before;
+		struct kwb_text_chunk piece;
 		bool joins;
 	} cases[] = {
 	    {{0}, {.text = 1, .first = 1, .last = 20}, true},
@@ -928,7 +928,7 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_piece_joins(&cases[i].piece, &cases[i].before),
+		    kwb_text_chunk_follows(&cases[i].piece, &cases[i].before),
 		    cases[i].joins);
 }
 
@@ -941,25 +941,25 @@
 static void
 test_owner_silence(void)
 {
-	struct kwb_node_beat dead = {.revision = 7,
+	struct kwb_node_heartbeat dead = {.revision = 7,
 	    .changed = true,
 	    .seen_ns = AT_MS(10000),
 	    .changed_ns = AT_MS(10000),
 	    .reads = 2};
-	struct kwb_node_beat idle = dead;
-
-	CU_ASSERT_TRUE(kwb_beat_is_alive(&dead, AT_MS(10800)));
-	kwb_beat_given(&dead, AT_MS(10800));
-	dead.reads += KWB_BEAT_READS;
-	CU_ASSERT_FALSE(kwb_beat_is_silent(&dead, AT_MS(11500)));
-	CU_ASSERT_TRUE(kwb_beat_is_silent(&dead, AT_MS(11600)));
-	CU_ASSERT_FALSE(kwb_beat_is_alive(&idle, AT_MS(30000)));
+	struct kwb_node_heartbeat idle = dead;
+
+	CU_ASSERT_TRUE(kwb_heartbeat_is_recent(&dead, AT_MS(10800)));
+	kwb_heartbeat_note_assignment(&dead, AT_MS(10800));
+	dead.reads += KWB_OWNER_EXPIRED_READS;
+	CU_ASSERT_FALSE(kwb_heartbeat_is_expired(&dead, AT_MS(11500)));
+	CU_ASSERT_TRUE(kwb_heartbeat_is_expired(&dead, AT_MS(11600)));
+	CU_ASSERT_FALSE(kwb_heartbeat_is_recent(&idle, AT_MS(30000)));
 	idle.reads = 90;
-	kwb_beat_given(&idle, AT_MS(30000));
-	CU_ASSERT_FALSE(kwb_beat_is_silent(&idle, AT_MS(30100)));
-	idle.reads += KWB_BEAT_READS;
-	CU_ASSERT_FALSE(kwb_beat_is_silent(&idle, AT_MS(31500)));
-	CU_ASSERT_TRUE(kwb_beat_is_silent(&idle, AT_MS(31600)));
+	kwb_heartbeat_note_assignment(&idle, AT_MS(30000));
+	CU_ASSERT_FALSE(kwb_heartbeat_is_expired(&idle, AT_MS(30100)));
+	idle.reads += KWB_OWNER_EXPIRED_READS;
+	CU_ASSERT_FALSE(kwb_heartbeat_is_expired(&idle, AT_MS(31500)));
+	CU_ASSERT_TRUE(kwb_heartbeat_is_expired(&idle, AT_MS(31600)));
 }
 
 #define CLAIM_NODES 40
@@ -992,7 +992,7 @@
 			state ^= state << 13;
 			state ^= state >> 7;
 			state ^= state << 17;
-			wait_ns[i] = kwb_claim_wait_ns(
+			wait_ns[i] = kwb_claim_delay_ns(
 			    i < large ? 500 : 90, nodes, state >> 16);
 			if (wait_ns[i] < first_ns) {
 				first_ns = wait_ns[i];
@@ -1020,12 +1020,12 @@
 static void
 test_owner_size(void)
 {
-	CU_ASSERT_TRUE(kwb_owner_stays(500, 500));
-	CU_ASSERT_TRUE(kwb_owner_stays(500, 90));
-	CU_ASSERT_TRUE(kwb_owner_stays(300, 500));
-	CU_ASSERT_FALSE(kwb_owner_stays(90, 500));
-	CU_ASSERT_TRUE(kwb_owner_stays(90, 90));
-	CU_ASSERT_TRUE(kwb_owner_stays(0, 90)); /* size not told */
+	CU_ASSERT_TRUE(kwb_owner_is_kept(500, 500));
+	CU_ASSERT_TRUE(kwb_owner_is_kept(500, 90));
+	CU_ASSERT_TRUE(kwb_owner_is_kept(300, 500));
+	CU_ASSERT_FALSE(kwb_owner_is_kept(90, 500));
+	CU_ASSERT_TRUE(kwb_owner_is_kept(90, 90));
+	CU_ASSERT_TRUE(kwb_owner_is_kept(0, 90)); /* size not told */
 }
 
 /* ---- Parsers
@@ -1091,17 +1091,17 @@
 {
 	const struct {
 		const char *name;
-		struct kwb_silence_input input;
+		struct kwb_stall_input input;
 		bool queued;
 	} cases[] = {
-	    {"just sent", {.since_ns = KWB_QUEUED_NS - 1}, false},
-	    {"no event yet", {.since_ns = KWB_QUEUED_NS}, true},
-	    {"events have come", {.since_ns = KWB_QUEUED_NS, .has_begun = true},
-		false},
+	    {"just sent", {.elapsed_ns = KWB_QUEUED_NS - 1}, false},
+	    {"no event yet", {.elapsed_ns = KWB_QUEUED_NS}, true},
+	    {"events have come",
+		{.elapsed_ns = KWB_QUEUED_NS, .has_begun = true}, false},
 	    {"weights change there",
-		{.since_ns = KWB_QUEUED_NS, .is_loading = true}, false},
+		{.elapsed_ns = KWB_QUEUED_NS, .is_loading = true}, false},
 	    {"a slow upstream",
-		{.since_ns = KWB_QUEUED_NS, .pace_ns = KWB_QUEUED_NS / 3},
+		{.elapsed_ns = KWB_QUEUED_NS, .pace_ns = KWB_QUEUED_NS / 3},
 		false},
 	};
 	unsigned i;
@@ -1410,16 +1410,16 @@
 	struct kwb_pick pick = {
 	    .service = "s", .now_ns = NOW_NS, .random = now_ms};
 	struct kwb_pick room = pick;
-	struct kwb_reward_input input = {
+	struct kwb_score_input input = {
 	    .waited_ns = (now_ms - work->ready_ms) * KWB_MS_NS,
 	    .left_ns = 7500 * KWB_MS_NS};
 	struct kwb_upstream *upstream;
 	unsigned i;
 
 	room.within_slots = true;
-	room.spare_part = KWB_REWARD_SPARE_PART;
-	input.has_place = kwb_upstream_pick(registry, &room) != NULL;
-	if (!work->is_call && leaves_room && !kwb_reward_goes(&input))
+	room.spare_part = KWB_SCORE_SPARE_PART;
+	input.has_room = kwb_upstream_pick(registry, &room) != NULL;
+	if (!work->is_call && leaves_room && !kwb_score_can_start(&input))
 		return;
 	upstream = kwb_upstream_pick(registry, &pick);
 	upstream->in_flight++;
