--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -100,57 +100,61 @@
 #define KWB_HEDGE_SPARE_PART 3 /* a third of the slots is left to others */
 
 /* Batches */
-#define KWB_ITEM_TTL_MS 30000		      /* when no route names one */
-#define KWB_ITEM_RETRY_NS (100 * KWB_MS_NS)   /* after an upstream's error */
-#define KWB_STREAM_IDLE_NS (1500 * KWB_MS_NS) /* 40 times a usual pause */
-#define KWB_STALL_NS (600 * KWB_MS_NS)	      /* below a load's 900 */
-#define KWB_STALL_FIRST_EVENT_NS (1000 * KWB_MS_NS) /* with the prompt's read  \
-						     */
-/* Order in an upstream's queue, 0 first; requests that name none have 5. */
-#define KWB_PRIORITY_CALLER 1
-#define KWB_PRIORITY_STARTED 3
-#define KWB_PRIORITY_NEW 5
-#define KWB_PRIORITY_SURPLUS 7
-#define KWB_QUEUED_NS (250 * KWB_MS_NS) /* a first event comes in 100 */
-#define KWB_QUEUED_PACES 4 /* so many usual pauses, where that is more */
-#define KWB_QUEUED_BACKOFF_NS (600 * KWB_MS_NS) /* left alone after that */
-#define KWB_STALL_PACES 10 /* so many usual pauses, where that is more */
-#define KWB_MOVE_CHECK_NS (200 * KWB_MS_NS) /* between looks for slow items */
+#define KWB_ITEM_TTL_MS 30000		    /* when no route names one */
+#define KWB_ITEM_RETRY_NS (100 * KWB_MS_NS) /* after an upstream's error */
+/* A stream without any byte for so long has failed; 40 usual event gaps. */
+#define KWB_STREAM_IDLE_NS (1500 * KWB_MS_NS)
+/* A gap this long between events is a stall; a load of weights takes 900 ms. */
+#define KWB_STALL_NS (600 * KWB_MS_NS)
+/* Likewise for the first event, which waits until the prompt is read. */
+#define KWB_STALL_FIRST_EVENT_NS (1000 * KWB_MS_NS)
+/* Priority in an upstream's queue, 0 first; requests that name none have 5. */
+#define KWB_PRIORITY_CALLER 1  /* an interactive request */
+#define KWB_PRIORITY_STARTED 3 /* an item that has events already */
+#define KWB_PRIORITY_NEW 5     /* an item without events */
+#define KWB_PRIORITY_SURPLUS 7 /* of a group that the trainer can miss */
+/* No first event for so long: queued; it usually comes within 100 ms. */
+#define KWB_QUEUED_NS (250 * KWB_MS_NS)
+#define KWB_QUEUED_PACES 4 /* so many usual event gaps, if that is longer */
+#define KWB_QUEUED_BACKOFF_NS (600 * KWB_MS_NS) /* then avoided so long */
+#define KWB_STALL_PACES 10 /* so many usual event gaps, if that is longer */
+#define KWB_MOVE_CHECK_NS (200 * KWB_MS_NS) /* between checks of items */
 #define KWB_MOVES_MAX 4			    /* of one item */
-#define KWB_MOVE_MIN_NS (300 * KWB_MS_NS)   /* before it is moved again */
+#define KWB_MOVE_MIN_NS (300 * KWB_MS_NS)   /* at an upstream before a move */
 #define KWB_CHECKPOINT_NS (500 * KWB_MS_NS) /* between writes of texts */
-#define KWB_CHECKPOINT_MIN_EVENTS 20	    /* events, a second of work */
-#define KWB_CHECKPOINT_EVENTS 8 /* a text that has grown by so many */
+#define KWB_CHECKPOINT_MIN_EVENTS 20	    /* a second of work */
+#define KWB_CHECKPOINT_EVENTS 8 /* new events that make a text due again */
 #define KWB_SCORE_SPARE_PART 3	/* a third of the slots is left to callers */
-#define KWB_SCORE_WAIT_NS (1000 * KWB_MS_NS)   /* for room, at most */
+#define KWB_SCORE_WAIT_NS (1000 * KWB_MS_NS)   /* longest wait for room */
 #define KWB_SCORE_URGENT_NS (1500 * KWB_MS_NS) /* before its batch is due */
 #define KWB_SCORE_TIMEOUT_MS 1500	       /* when no route names one */
-#define KWB_DISPATCH_NS (20 * KWB_MS_NS)     /* between looks for free places */
+#define KWB_DISPATCH_NS (20 * KWB_MS_NS)     /* between checks for free slots */
 #define KWB_BATCH_RETRY_NS (100 * KWB_MS_NS) /* after a failed store call */
-#define KWB_TX_MAX_BYTES (400u << 10) /* of values; 1 MB as text at most */
-#define KWB_RESULTS_MAX 100	      /* results in one answer */
-#define KWB_RESULTS_MAX_BYTES (900u << 10)
-#define KWB_READ_POLL_NS (60 * KWB_MS_NS)    /* a reader's look for results */
-#define KWB_READ_RETRY_NS (120 * KWB_MS_NS)  /* likewise, after a failure */
-#define KWB_OWNER_CHECK_NS (400 * KWB_MS_NS) /* between looks at owners */
-#define KWB_OWNER_HEARTBEAT_NS (400 * KWB_MS_NS) /* between beats of an owner  \
-						  */
-#define KWB_OWNER_EXPIRED_READS 3 /* reads without a beat before a take-over   \
-				   */
-#define KWB_OWNER_EXPIRED_NS (1600 * KWB_MS_NS)	     /* likewise, time */
-#define KWB_DISPATCH_STORE_AGE_NS (2200 * KWB_MS_NS) /* ends are known in 3 s  \
-						      */
-#define KWB_OWNER_RECENT_NS (900 * KWB_MS_NS)	 /* its last beat is so new */
-#define KWB_OWNER_LINGER_NS (10000 * KWB_MS_NS)	 /* beats on without batches */
-#define KWB_OWNER_FORGET_NS (600000 * KWB_MS_NS) /* a node gone for good */
-#define KWB_SWEEP_CHECK_NS                                                     \
-	(1000 * KWB_MS_NS) /* between looks for old batches */
+#define KWB_TX_MAX_BYTES (400u << 10)	   /* of values; 1 MB encoded as text */
+#define KWB_RESULTS_MAX 100		   /* results in one answer */
+#define KWB_RESULTS_MAX_BYTES (900u << 10) /* likewise, their size */
+#define KWB_READ_POLL_NS (60 * KWB_MS_NS)  /* between a reader's polls */
+#define KWB_READ_RETRY_NS (120 * KWB_MS_NS)	 /* after a failed read */
+#define KWB_OWNER_CHECK_NS (400 * KWB_MS_NS)	 /* between checks of owners */
+#define KWB_OWNER_HEARTBEAT_NS (400 * KWB_MS_NS) /* an owner's period */
+/* An owner is expired after so many reads without a change, and so long. */
+#define KWB_OWNER_EXPIRED_READS 3
+#define KWB_OWNER_EXPIRED_NS (1600 * KWB_MS_NS)
+/*
+ * No item starts when the store has not answered for so long: a batch's end
+ * has to be known to its owner within 3 s.
+ */
+#define KWB_DISPATCH_STORE_AGE_NS (2200 * KWB_MS_NS)
+#define KWB_OWNER_RECENT_NS (900 * KWB_MS_NS)	 /* age of a recent heartbeat */
+#define KWB_OWNER_LINGER_NS (10000 * KWB_MS_NS)	 /* it goes on after a batch */
+#define KWB_OWNER_FORGET_NS (600000 * KWB_MS_NS) /* then its row is removed */
+#define KWB_SWEEP_CHECK_NS (1000 * KWB_MS_NS)	 /* between removals */
 /* Claims of a whole core are spread over so long, of a tenth ten times that. */
 #define KWB_CLAIM_SPREAD_NS (50 * KWB_MS_NS)
 #define KWB_CLAIM_SPREAD_MAX_NS (600 * KWB_MS_NS)
-#define KWB_CLAIM_SPREAD_NODES 48   /* nodes for which that spread is enough */
-#define KWB_OWNER_PROCESSOR_RATIO 2 /* so much larger nodes get the batches */
-#define KWB_CLAIMS_MAX 32 /* conditional writes of heads in progress */
+#define KWB_CLAIM_SPREAD_NODES 48   /* fleet for which that spread is enough */
+#define KWB_OWNER_PROCESSOR_RATIO 2 /* so much larger ones become owner */
+#define KWB_CLAIMS_MAX 32	    /* claims in progress */
 
 /* Nodes */
 #define KWB_CALLER_IDLE_MS 15000  /* before a config names one */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -970,120 +970,137 @@
 /* ---- Batch: submissions of trainers
  * ------------------------------------------ */
 
+/*
+ * A trainer submits a batch: items, each a request for one generation, in
+ * groups of samples of the same prompt. The node that accepts it stores the
+ * submission; one node, the owner, runs the items at upstreams and writes
+ * their results to the store, where any node can read them. When the owner
+ * stops or dies, another node claims the batch and resumes its items.
+ *
+ * An item is listed once its result has a position in the batch's list of
+ * results. Functions are called on the event loop's thread only.
+ */
+
 struct kwb_batch_item {
 	char *id;
-	char *target; /* path */
-	char *group;
-	struct kwb_message headers; /* of the item; no body */
+	char *target;		    /* path of its request */
+	char *group;		    /* name of its group */
+	struct kwb_message headers; /* of its request; no body */
 	char *body;
 	size_t body_bytes;
-	uint64_t tokens;
+	uint64_t tokens;      /* of work, as the submission states */
 	uint64_t length_hint; /* expected output tokens; 0 unknown */
-	char *score_id;	      /* NULL when it is not scored */
+	char *score_id;	      /* of the reward call; NULL when not scored */
 	char *score_host;
 	char *score_target;
 	char *score_body;
 	size_t score_body_bytes;
 };
 
+/* A submission, parsed. */
 struct kwb_batch_spec {
-	uint64_t step;
+	uint64_t step; /* training step */
 	char model[KWB_NAME_MAX_BYTES];
-	uint64_t min_version;
-	uint32_t target_groups;
+	uint64_t min_version;	/* oldest weights allowed */
+	uint32_t target_groups; /* groups the trainer waits for; 0 for all */
 	struct kwb_batch_item *items;
 	uint32_t items_count;
 };
 
 void kwb_batch_spec_finish(struct kwb_batch_spec *spec); /* frees it */
 
-/* Row that says that a batch exists, who runs it and whether it has ended. */
+/*
+ * Stored row of a batch: who owns it and whether it is done. The last two
+ * fields are not part of its value.
+ */
 struct kwb_batch_record {
 	char id[KWB_KEY_MAX_BYTES];
-	char owner[KWB_NAME_MAX_BYTES]; /* node, "" when released */
-	uint64_t owner_incarnation;
-	char host[KWB_KEY_MAX_BYTES];
-	char target[KWB_URL_MAX_BYTES];
+	char owner[KWB_NAME_MAX_BYTES]; /* node; "" when released */
+	uint64_t owner_incarnation;	/* process of that node */
+	char host[KWB_KEY_MAX_BYTES];	/* of the submission */
+	char target[KWB_URL_MAX_BYTES]; /* path of the submission */
 	char model[KWB_NAME_MAX_BYTES];
-	uint64_t min_version;
+	uint64_t min_version;	/* oldest weights allowed */
 	uint64_t accepted_ms;	/* the store's clock */
-	uint64_t step;		/* of its trainer */
-	uint32_t target_groups; /* the trainer waits for */
-	uint64_t tokens;
-	uint32_t total; /* items */
-	bool ended;
-	bool listed; /* all items have a result */
-	bool fresh;  /* nobody has run it yet */
-	uint64_t revision;
-	uint64_t claim_ns; /* this node claims it then; 0 undecided */
+	uint64_t step;		/* training step */
+	uint32_t target_groups; /* groups the trainer waits for; 0 for all */
+	uint64_t tokens;	/* sum over its items */
+	uint32_t total;		/* items */
+	bool ended;		/* the trainer wants no more of it */
+	bool listed;		/* all items have a result */
+	bool fresh;		/* nobody has run it yet */
+	uint64_t revision;	/* of the row */
+	uint64_t claim_ns;	/* this node may claim it then; 0 undecided */
 };
 
 int kwb_batch_record_parse(struct kwb_batch_record *record,
-    const struct kwb_row *row); /* from its row */
+    const struct kwb_row *row); /* 0, or KWB_ERR_STORE_VALUE; id and revision
+				   are set even then */
 int kwb_batch_record_serialize(const struct kwb_batch_record *record,
-    struct kwb_buf *out); /* as the value of its row */
+    struct kwb_buf *out); /* appends the row's value; 0 or an error */
 
-/* What the order of items looks at; see kwb_item_rank_compare(). */
+/* What decides the order of items; see kwb_item_rank_compare(). */
 struct kwb_item_rank {
-	uint32_t group_index; /* order of its group in the batch */
-	bool wanted; /* its group is one the trainer will likely wait for */
-	uint64_t length_hint;  /* expected output tokens */
-	uint64_t events_count; /* events that are there already */
+	uint32_t group_index;  /* order of its group in the batch */
+	bool wanted;	       /* the trainer likely waits for its group */
+	uint64_t length_hint;  /* expected output tokens; 0 unknown */
+	uint64_t events_count; /* received so far */
 };
 
 int kwb_item_rank_compare(const struct kwb_item_rank *a,
     const struct kwb_item_rank *b); /* below 0 when a starts first; pure */
 
 int32_t kwb_item_priority(const struct kwb_item_rank *rank); /* of its request
-    at an upstream, 0 first; pure */
+    in an upstream's queue, a KWB_PRIORITY_ constant; pure */
 
-/* What decides whether a generation goes on elsewhere; see
- * kwb_move_is_worthwhile().
- */
+/* What decides whether a generation moves to another upstream. */
 struct kwb_move_input {
-	uint64_t pace_ns;      /* between events, where it runs */
-	uint64_t best_pace_ns; /* at the fastest place that is free */
-	uint32_t moves;	       /* so far */
-	uint64_t elapsed_ns;   /* it runs there */
+	uint64_t pace_ns;      /* time between events where it runs */
+	uint64_t best_pace_ns; /* likewise at the candidate; 0 unknown */
+	uint32_t moves;	       /* of this item so far */
+	uint64_t elapsed_ns;   /* since it started where it runs */
 };
 
 bool kwb_move_is_worthwhile(const struct kwb_move_input *input); /* pure */
 
-/* What decides whether a generation has stopped; see kwb_item_is_stalled(). */
+/* What decides whether a generation has stalled or waits in a queue. */
 struct kwb_stall_input {
-	uint64_t elapsed_ns; /* its last event, or its start */
-	uint64_t pace_ns;    /* usual time between events there, 0 unknown */
+	uint64_t elapsed_ns; /* since its last event, or since its start */
+	uint64_t pace_ns;    /* usual time between events there; 0 unknown */
 	bool has_begun;	     /* an event has come from there */
-	bool is_loading;     /* its upstream changes weights */
+	bool is_loading;     /* its upstream loads weights */
 };
 
-bool kwb_item_is_stalled(const struct kwb_stall_input *input); /* pure */
+bool kwb_item_is_stalled(
+    const struct kwb_stall_input *input); /* its upstream has stopped; pure */
 bool kwb_item_is_queued(
     const struct kwb_stall_input *input); /* it waits for a slot; pure */
 
-/* What decides whether a reward is asked for now; see kwb_score_can_start(). */
+/* What decides whether an item's reward is requested now. */
 struct kwb_score_input {
-	bool has_room;	    /* an upstream has room beside that for callers */
-	uint64_t waited_ns; /* since its text was whole */
+	bool has_room; /* an upstream has slots beyond those kept for callers */
+	uint64_t waited_ns; /* since its text was complete */
 	uint64_t left_ns;   /* until its batch is due */
 };
 
 bool kwb_score_can_start(const struct kwb_score_input *input); /* pure */
 
-/* A part of an item's text in the store: events first to last. */
+/*
+ * A part of an item's text, as checkpointed in the store. Each owner that
+ * generates gives its text an id of its own.
+ */
 struct kwb_text_chunk {
-	uint64_t text;	     /* which one it belongs to, never 0 */
-	uint64_t before;     /* the one that this text goes on from, or 0 */
-	uint64_t resumed_at; /* after this event of that one */
-	uint64_t first;
-	uint64_t last;
+	uint64_t text;	     /* id of the text it belongs to, never 0 */
+	uint64_t before;     /* id of the text that this one resumes; 0 none */
+	uint64_t resumed_at; /* last event taken from that one */
+	uint64_t first;	     /* number of its first event, from 1 */
+	uint64_t last;	     /* number of its last event */
 };
 
 bool kwb_text_chunk_follows(const struct kwb_text_chunk *chunk,
-    const struct kwb_text_chunk
-	*before); /* goes on where that one ends; pure */
+    const struct kwb_text_chunk *before); /* continues that one; pure */
 
-/* All batches that this node knows of, and those it runs. */
+/* What batches use of the node. */
 struct kwb_batch_env {
 	struct event_base *base;
 	struct kwb_store *store;
@@ -1098,154 +1115,169 @@
 TAILQ_HEAD(kwb_batch_list, kwb_batch);
 TAILQ_HEAD(kwb_batch_read_list, kwb_batch_read);
 
+/* What this node has seen of another node's heartbeat row. */
 struct kwb_node_heartbeat {
 	char node[KWB_NAME_MAX_BYTES];
-	uint64_t revision;
-	uint64_t seen_ns;    /* boot time when that revision was first read */
-	uint64_t changed_ns; /* boot time when it last changed */
-	bool changed;	     /* a beat has been seen, not just a row */
-	uint32_t reads;	     /* successful reads since then */
-	uint32_t processor_milli;
+	uint64_t revision;	  /* of its row, 0 before the first */
+	uint64_t seen_ns;	  /* boot time from which its silence counts */
+	uint64_t changed_ns;	  /* boot time when the revision last changed */
+	bool changed;		  /* a heartbeat was seen, not only its row */
+	uint32_t reads;		  /* successful reads since seen_ns */
+	uint32_t processor_milli; /* thousandths of a core; 0 unknown */
 };
 
-/* Who runs a batch; all times are boot times; pure. */
+/*
+ * Who owns a batch. Times are boot times. All are pure but
+ * kwb_heartbeat_note_assignment().
+ */
 bool kwb_heartbeat_is_recent(const struct kwb_node_heartbeat *heartbeat,
     uint64_t now_ns); /* new enough to be given a batch */
 bool kwb_heartbeat_is_expired(const struct kwb_node_heartbeat *heartbeat,
-    uint64_t now_ns); /* for so long that its batches are taken over */
+    uint64_t now_ns); /* missing for so long that its batches are claimed */
 void kwb_heartbeat_note_assignment(struct kwb_node_heartbeat *heartbeat,
-    uint64_t now_ns); /* the node has been given a batch */
+    uint64_t now_ns); /* the node became an owner: gives an idle one time */
 uint64_t kwb_claim_delay_ns(uint32_t processor_milli, uint32_t nodes,
     uint64_t random); /* before a node claims a batch without owner */
 bool kwb_owner_is_kept(uint32_t owner_milli,
-    uint32_t other_milli); /* the next batch goes to the last one's owner */
+    uint32_t other_milli); /* the last batch's owner gets the next one, too */
 
+/* What the removal of an expired batch does next, in this order. */
 enum kwb_sweep_step {
-	KWB_SWEEP_NONE,
-	KWB_SWEEP_DONE,
-	KWB_SWEEP_PARTIAL,
+	KWB_SWEEP_NONE,	   /* no removal in progress */
+	KWB_SWEEP_DONE,	   /* rows of listed items, and long results */
+	KWB_SWEEP_PARTIAL, /* checkpointed texts */
 	KWB_SWEEP_RESULTS,
-	KWB_SWEEP_OBJECT,
+	KWB_SWEEP_OBJECT, /* the submission */
 	KWB_SWEEP_RECORD
 };
 
+/*
+ * All batches that this node knows of, and those it runs. Times without a
+ * note are kwb_clock_now_ns().
+ */
 struct kwb_batches {
 	const struct kwb_batch_env *env;
-	struct kwb_follower follower; /* of the heads */
+	struct kwb_follower follower; /* of the records */
 	struct kwb_batch_record **records;
 	uint32_t records_count;
 	uint32_t records_capacity;
 	struct kwb_batch_list running;
-	struct kwb_batch_read_list reads;
-	struct event *dispatch_timer; /* starts items */
-	struct event *owner_timer;    /* takes over what has no living owner */
+	struct kwb_batch_read_list reads; /* waiting for results */
+	struct event *dispatch_timer;	  /* starts items */
+	struct event *owner_timer; /* claims batches without living owner */
 	bool dispatch_armed;
-	uint64_t move_checked_ns; /* last look for items on slow upstreams */
-	bool handing_over;	  /* starts and takes over nothing more */
-	struct kwb_store_call heartbeat;       /* own heartbeat */
-	struct kwb_store_call heartbeats_read; /* heartbeats of others */
+	uint64_t move_checked_ns;	 /* last check of the running items */
+	bool handing_over;		 /* starts and claims nothing more */
+	struct kwb_store_call heartbeat; /* writes the own one */
+	struct kwb_store_call heartbeats_read; /* those of all nodes */
 	struct kwb_node_heartbeat *heartbeats;
 	uint32_t heartbeats_count;
-	uint64_t heartbeat_ns;	     /* last own heartbeat */
-	uint64_t last_owned_ns;	     /* when this node last ran a batch */
-	uint64_t changed_ns;	     /* when a head last changed */
-	uint32_t fleet_nodes;	     /* in the fleet, about; 0 unknown */
-	struct kwb_store_call sweep; /* removes one old batch at a time */
+	uint64_t heartbeat_ns;	/* last write of the own one */
+	uint64_t last_owned_ns; /* when this node last ran a batch; 0 never */
+	uint64_t changed_ns;	/* when a record last changed */
+	uint32_t fleet_nodes;	/* estimate; 0 unknown */
+	struct kwb_store_call sweep; /* removes one expired batch at a time */
 	enum kwb_sweep_step sweep_step;
-	struct kwb_batch_record sweep_record;
-	uint32_t sweep_position;
+	struct kwb_batch_record sweep_record; /* the batch being removed */
+	uint32_t sweep_position;	      /* next result to remove */
 	char sweep_dropped_object[2 * KWB_KEY_MAX_BYTES +
-	    32]; /* object dropped last */
+	    32]; /* long result removed last */
 	uint64_t sweep_checked_ns;
-	struct kwb_store_call
-	    heartbeat_remove; /* removes rows of nodes long gone */
+	struct kwb_store_call heartbeat_remove; /* row of a node long gone */
 };
 
 int kwb_batches_init(struct kwb_batches *batches,
-    const struct kwb_batch_env *env);			/* follows the heads */
-void kwb_batches_finish(struct kwb_batches *batches);	/* drops everything */
-void kwb_batches_dispatch(struct kwb_batches *batches); /* looks for places */
+    const struct kwb_batch_env *env); /* begins to follow the records; 0 or an
+					 error */
+void kwb_batches_finish(
+    struct kwb_batches *batches); /* frees everything, stores nothing */
+void kwb_batches_dispatch(
+    struct kwb_batches *batches); /* starts items on the loop's next turn */
 void kwb_batches_send_heartbeat(
-    struct kwb_batches *batches); /* tells at once that this node lives */
-void kwb_batches_rebalance(
-    struct kwb_batches *batches); /* moves items off what got worse, too */
+    struct kwb_batches *batches); /* without waiting for its period */
+void kwb_batches_rebalance(struct kwb_batches *batches); /* dispatches, and
+    checks whether running items should move */
 void kwb_batches_hand_over(
-    struct kwb_batches *batches); /* hands all over to other nodes */
+    struct kwb_batches *batches); /* releases all to other nodes, for good */
 bool kwb_batches_is_idle(
-    const struct kwb_batches *batches); /* nothing is left to hand over */
+    const struct kwb_batches *batches); /* no batch is left in memory */
 struct kwb_batch_record *kwb_batches_find_record(
     const struct kwb_batches *batches, const char *id); /* or NULL */
 const struct kwb_batch_record *kwb_batches_newest_record(
     const struct kwb_batches *batches,
     const char *model); /* accepted last for that model, or NULL */
 
-/* Accepts a submission: durable before it is answered, and only once. */
 enum kwb_batch_accept_outcome {
 	KWB_ACCEPT_TAKEN,   /* durable, now or before */
 	KWB_ACCEPT_REFUSED, /* nothing is stored and nothing runs */
 	KWB_ACCEPT_UNKNOWN, /* may be stored */
-	KWB_ACCEPT_INVALID  /* can't be read */
+	KWB_ACCEPT_INVALID  /* the submission can't be parsed */
 };
 
+/* Accepts a submission: durable before it is answered, and only once. */
 struct kwb_batch_accept {
 	void (*on_done)(struct kwb_batch_accept *accept);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
-	struct kwb_batch_record record;
+	struct kwb_batch_record record; /* caller sets id, host, target */
 	struct kwb_batch_spec spec;
-	const char *body; /* as submitted; lives as long as the accept */
+	const char *body; /* as submitted; must outlive the operation */
 	size_t body_bytes;
-	bool reading_back;
+	bool reading_back; /* unused */
 	enum kwb_batch_accept_outcome outcome;
-	const char *reason;
+	const char *reason; /* why that outcome; a static string */
 };
 
 void kwb_batch_accept_start(
-    struct kwb_batch_accept *accept); /* on_done follows */
+    struct kwb_batch_accept *accept); /* on_done follows, maybe at once */
 void kwb_batch_accept_finish(
-    struct kwb_batch_accept *accept); /* no callback after */
+    struct kwb_batch_accept *accept); /* frees; no callback after */
 
-/* Ends a batch. */
+/* Ends a batch: its owner runs none of its items any more. */
 struct kwb_batch_end {
 	void (*on_done)(struct kwb_batch_end *end);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
-	struct event *timer;
-	struct kwb_batch_record record;
-	uint64_t deadline_ns;
-	bool reading;
+	struct event *timer;		/* retries */
+	struct kwb_batch_record record; /* caller sets id */
+	uint64_t deadline_ns;		/* no retry after it */
+	bool reading;			/* a retry was scheduled */
 	int error; /* 0, KWB_ERR_STORE_MISSING, or why it isn't certain */
 };
 
-void kwb_batch_end_start(struct kwb_batch_end *end);  /* on_done follows */
-void kwb_batch_end_finish(struct kwb_batch_end *end); /* no callback after */
+void kwb_batch_end_start(
+    struct kwb_batch_end *end); /* on_done follows, maybe at once */
+void kwb_batch_end_finish(
+    struct kwb_batch_end *end); /* frees; no callback after */
 
-/* Reads results, or the body of one item. */
+/* Reads results of a batch, or the body of one item. */
 struct kwb_batch_read {
 	void (*on_done)(struct kwb_batch_read *read);
 	void *context;
 	struct kwb_batches *batches;
 	struct kwb_store_call call;
-	struct event *timer;
+	struct event *timer; /* polls and retries */
 	char batch[KWB_KEY_MAX_BYTES];
 	char item[KWB_KEY_MAX_BYTES]; /* "" for results */
-	uint32_t after;
+	uint32_t after;		      /* first position wanted */
 	uint64_t wait_deadline_ns; /* an empty list is held back until then */
-	uint64_t deadline_ns;
-	uint32_t total;
-	uint32_t next;
-	bool record_known;
-	bool in_list;
+	uint64_t deadline_ns;	   /* no retry after it */
+	uint32_t total;		   /* items of the batch */
+	uint32_t next;		   /* position to read from next time */
+	bool record_known;	   /* the batch exists; total is set */
+	bool in_list;		   /* among batches->reads */
 	TAILQ_ENTRY(kwb_batch_read) entry;
 	/* outcome */
 	int error; /* 0, KWB_ERR_STORE_MISSING, or why it isn't certain */
-	struct kwb_buf answer; /* results as sent, or the body */
+	struct kwb_buf answer; /* encoded results, or the item's body */
 };
 
-void kwb_batch_read_start(struct kwb_batch_read *read);	 /* on_done follows */
-void kwb_batch_read_finish(struct kwb_batch_read *read); /* no callback after */
+void kwb_batch_read_start(
+    struct kwb_batch_read *read); /* on_done follows, maybe at once */
+void kwb_batch_read_finish(
+    struct kwb_batch_read *read); /* frees; no callback after */
 
 /* ---- Weights: homes of models and orders ------------------------------------
  */
--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -112,7 +112,7 @@
 const struct kwb_batch_env *run_env(const struct item_run *run);
 void run_log(const struct item_run *run, const char *event, const char *reason);
 bool run_is_past_ttl(const struct item_run *run);
-void run_settle(struct item_run *run, enum kwb_item_state result,
+void run_ready(struct item_run *run, enum kwb_item_state result,
     const char *reason); /* its result is settled */
 void run_retry(struct item_run *run, uint64_t wait_ns,
     const char *reason); /* gives its place back and waits for another */
--- a/src/batch/pump.c
+++ b/src/batch/pump.c
@@ -89,7 +89,7 @@
 	bool queued;
 
 	if (run_is_past_ttl(run)) {
-		run_settle(run, KWB_ITEM_ERRORED, "item_ttl");
+		run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
 	if (kwb_item_is_stalled(&stall)) {
@@ -161,7 +161,7 @@
 	const char *at;
 
 	if (route == NULL) {
-		run_settle(run, KWB_ITEM_ERRORED, "route_removed");
+		run_ready(run, KWB_ITEM_ERRORED, "route_removed");
 		return true;
 	}
 	for (at = run->item->id; *at != '\0'; at++)
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -76,7 +76,7 @@
 }
 
 void
-run_settle(struct item_run *run, enum kwb_item_state result, const char *reason)
+run_ready(struct item_run *run, enum kwb_item_state result, const char *reason)
 {
 	uint64_t now_ms = kwb_store_now_ms(run_env(run)->store);
 
@@ -100,7 +100,7 @@
 	run_stop(run);
 	run->not_before_ns = kwb_clock_now_ns() + wait_ns;
 	if (run_is_past_ttl(run)) {
-		run_settle(run, KWB_ITEM_ERRORED, "item_ttl");
+		run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
 	kwb_batches_dispatch(run->batch->batches);
@@ -217,7 +217,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (answer->status == 422) {
-		run_settle(run, KWB_ITEM_ERRORED, "can_never_be_done");
+		run_ready(run, KWB_ITEM_ERRORED, "can_never_be_done");
 		return;
 	}
 	if (answer->not_run) {
@@ -229,7 +229,7 @@
 	if (answer->status == 500) {
 		run->errors++;
 		if (route != NULL && run->errors >= route->max_attempts) {
-			run_settle(run, KWB_ITEM_ERRORED, "failed_too_often");
+			run_ready(run, KWB_ITEM_ERRORED, "failed_too_often");
 			return;
 		}
 	}
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -19,7 +19,7 @@
 		    &forward->answer, &answer);
 	if (answer.status / 100 == 2 && answer.receipt != NULL) {
 		run->receipt = strdup(answer.receipt);
-		run_settle(run, KWB_ITEM_COMPLETED, "scored");
+		run_ready(run, KWB_ITEM_COMPLETED, "scored");
 		return;
 	}
 	route = kwb_node_config_route(*run_env(run)->config,
@@ -27,7 +27,7 @@
 	if (answer.status == 500)
 		run->score_errors++;
 	if (route != NULL && run->score_errors >= route->max_attempts) {
-		run_settle(run, KWB_ITEM_ERRORED, "score_failed_too_often");
+		run_ready(run, KWB_ITEM_ERRORED, "score_failed_too_often");
 		return;
 	}
 	run->not_before_ns = kwb_clock_now_ns() + KWB_ITEM_RETRY_NS;
@@ -85,7 +85,7 @@
 
 	run->state = ITEM_SCORING;
 	if (item->score_id == NULL) {
-		run_settle(run, KWB_ITEM_COMPLETED, "not_scored");
+		run_ready(run, KWB_ITEM_COMPLETED, "not_scored");
 		return;
 	}
 	if (run->score_active)
@@ -97,7 +97,7 @@
 	if (route == NULL) {
 		run_log(run, "score_waits", "no_route");
 		if (run_is_past_ttl(run))
-			run_settle(run, KWB_ITEM_ERRORED, "item_ttl");
+			run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
 	service = kwb_route_entry_service(route, (uint64_t)random());
