--- a/src/batch/item.c
+++ b/src/batch/item.c
@@ -1,13 +1,15 @@
 /*
- * Decisions on items: which starts first, and which goes on elsewhere. They
- * answer batches whose longest item takes nearly all of the time that its
- * trainer has.
+ * Decisions on items, without side effects: which one starts first, which one
+ * has stalled, moves or is scored, and which stored text continues another.
+ * They are made for batches whose longest item takes nearly all of the time
+ * that the trainer has for a step.
  */
 #include "kwb_node.h"
 
 /*
  * A batch is done when the last item of its wanted groups is, so the longest
- * go first; what has begun goes on before anything new.
+ * items start first. An item that has events is resumed before a new one
+ * starts.
  */
 int
 kwb_item_rank_compare(
@@ -25,10 +27,10 @@
 }
 
 /*
- * Slots are shared with other nodes' items, of which this node knows nothing;
- * the upstream orders them all. An item that has begun is moved because it is
- * long or was held up, so its step waits for it: it goes before new ones. What
- * the trainer likely does without goes last, and callers before all.
+ * Nodes share an upstream's slots and don't know of each other's items, so the
+ * upstream's queue orders them. An item with events was moved there because it
+ * is long or was delayed, and its step waits for it: it goes before new items.
+ * Items of surplus groups go last, interactive requests before all.
  */
 int32_t
 kwb_item_priority(const struct kwb_item_rank *rank)
@@ -39,9 +41,9 @@
 }
 
 /*
- * Moving costs a read of the prompt and of the text so far, some milliseconds,
- * so it pays wherever another place is clearly faster: a trainer waits for the
- * last item of its groups.
+ * A move costs some milliseconds, as the new upstream reads the prompt and the
+ * text so far, so it is worthwhile wherever the candidate is clearly faster: a
+ * trainer waits for the last item of its groups.
  */
 bool
 kwb_move_is_worthwhile(const struct kwb_move_input *input)
@@ -53,8 +55,8 @@
 
 /*
  * Events come at an even pace. A load of weights interrupts them for about a
- * second, and the first one waits for the reading of the prompt; any longer
- * gap is an upstream that has stopped, and its connection may stay open.
+ * second, and the first one comes after the prompt is read. Any longer gap
+ * means that the upstream has stopped, even if its connection stays open.
  */
 bool
 kwb_item_is_stalled(const struct kwb_stall_input *input)
@@ -71,10 +73,9 @@
 }
 
 /*
- * The first event comes within a few pauses, as a prompt is read in some
- * milliseconds. Later than that, others hold the slots: other nodes, whose
- * items this one has not heard of. An item that waits there has lost nothing
- * yet.
+ * The first event usually comes within a few event gaps, as reading a prompt
+ * takes some milliseconds. When it is later, items of other nodes, unknown to
+ * this one, hold the slots. Moving an item that waits there loses no work.
  */
 bool
 kwb_item_is_queued(const struct kwb_stall_input *input)
@@ -88,10 +89,10 @@
 }
 
 /*
- * Texts that end together ask for their rewards together, and these take
- * places in the services that callers use, too. A caller waits for a fraction
- * of a second, a trainer for its whole step: so rewards leave room, until their
- * own step is near its end.
+ * Generations that end together request their rewards together, from services
+ * that also answer interactive callers. A caller waits for a fraction of a
+ * second, a trainer for its whole step, so rewards leave room for callers
+ * until their step is nearly due.
  */
 bool
 kwb_score_can_start(const struct kwb_score_input *input)
@@ -101,8 +102,9 @@
 }
 
 /*
- * Two owners that write for a moment make two texts; events of one never go on
- * from events of the other, but where it was resumed.
+ * Two nodes may briefly own a batch and write different texts for an item.
+ * Events of one text continue another text only at the event where it was
+ * resumed.
  */
 bool
 kwb_text_chunk_follows(
--- a/src/batch/owner.c
+++ b/src/batch/owner.c
@@ -1,7 +1,7 @@
 /*
- * Decisions on who runs a batch. They answer nodes that die at any moment, and
- * fleets of large and very small nodes: a tenth of a core falls behind in
- * reading the events of a batch, and its trainer waits.
+ * Decisions on who owns a batch. Nodes may die at any moment, and a fleet has
+ * large and very small ones: a node with a tenth of a core falls behind in
+ * reading the events of a batch, and the trainer waits.
  */
 #include "kwb_node.h"
 
@@ -13,7 +13,7 @@
 	    now_ns - heartbeat->changed_ns < KWB_OWNER_RECENT_NS;
 }
 
-/* Counted are only reads that succeeded: the silence may be the reader's. */
+/* Only successful reads count: a failed one says nothing of the owner. */
 bool
 kwb_heartbeat_is_expired(
     const struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
@@ -23,8 +23,8 @@
 }
 
 /*
- * An idle node does not heartbeat and needs time to begin. One that was beating
- * may have died just now, before anyone could know.
+ * An idle node writes no heartbeat and needs time to begin. One whose heartbeat
+ * is recent may have died just now, so its silence goes on counting.
  */
 void
 kwb_heartbeat_note_assignment(
@@ -37,9 +37,9 @@
 }
 
 /*
- * Spread evenly, over a time that grows as the node is smaller, and with the
- * fleet: the first claim comes as soon, and as few nodes claim before they have
- * heard of it.
+ * The delay is spread evenly over a time that is longer for smaller nodes and
+ * larger fleets. So the first claim comes as early in a larger fleet, and as
+ * few nodes claim before they hear of it.
  */
 uint64_t
 kwb_claim_delay_ns(uint32_t processor_milli, uint32_t nodes, uint64_t random)
