--- a/src/batch/head.c
+++ b/src/batch/head.c
@@ -1,5 +1,5 @@
 /*
- * The row of a batch, its submission, and the order in which its items start.
+ * Parses and serializes the record of a batch, and frees a parsed submission.
  */
 #include <jansson.h>
 #include <stdlib.h>
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -1,6 +1,6 @@
 /*
- * All batches that the store knows of, followed by every node; and the
- * dispatch_timer that starts items of those that this node runs.
+ * The records of all batches, which every node follows in the store, and the
+ * timer that starts and checks items of the batches that this node runs.
  */
 #include <event2/event.h>
 #include <stdlib.h>
@@ -117,8 +117,8 @@
 	if (batches->handing_over)
 		return;
 	/*
-	 * A node that the store has turned away for so long may have missed
-	 * the end of a batch: what runs goes on, nothing new starts.
+	 * A node without an answer of the store for so long may have missed
+	 * the end of a batch: running items go on, no new ones start.
 	 */
 	if (kwb_clock_now_ns() - batches->env->store->answered_ns <
 	    KWB_DISPATCH_STORE_AGE_NS)
--- a/src/batch/pump.c
+++ b/src/batch/pump.c
@@ -1,14 +1,14 @@
 /*
- * Places for items: which item starts next, where, and which running item goes
- * on elsewhere. Answers batches that come faster than the longest item takes,
- * on homes that change their weights in turn.
+ * Assigns items to upstreams: which item starts next and where, and which
+ * running item moves to another upstream. Batches may come faster than their
+ * longest item takes, and upstreams load new weights in turn.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "batch.h"
 
-/* Cheapest free candidate for an item, but for where it runs now. */
+/* Best upstream with a free slot, other than the current one; or NULL. */
 static struct kwb_upstream *
 run_pick_upstream(const struct item_run *run, const char *service)
 {
@@ -43,7 +43,7 @@
 		run->upstream, run->batch->spec.model, now_ns)};
 }
 
-/* Why a running item goes on at that candidate, NULL to stay. */
+/* Why a running item should move to that candidate; NULL to stay. */
 static const char *
 reason_to_move(const struct item_run *run, const struct kwb_upstream *candidate,
     uint64_t now_ns)
@@ -64,7 +64,7 @@
 	return kwb_move_is_worthwhile(&input) ? "slow_upstream" : NULL;
 }
 
-/* Goes on there at once, without a turn among waiting items. */
+/* Resumes there at once, ahead of the waiting items. */
 static void
 run_move(
     struct item_run *run, struct kwb_upstream *candidate, const char *reason)
@@ -93,7 +93,7 @@
 		return;
 	}
 	if (kwb_item_is_stalled(&stall)) {
-		/* While others go on there, this one waits in its queue. */
+		/* An upstream where others get events has not failed. */
 		if (now_ns - run->upstream->pace_at_ns >= KWB_STALL_NS)
 			kwb_upstream_failed(run->upstream, now_ns);
 		run_retry(run, 0, "silent");
@@ -149,7 +149,7 @@
 	return kwb_item_rank_compare(&left, &right);
 }
 
-/* Starts one waiting item; false when there is no candidate for it. */
+/* Starts one waiting item; false when no upstream has a free slot. */
 static bool
 dispatch_run(struct item_run *run)
 {
@@ -158,14 +158,14 @@
 	    *env->config, run->batch->record.host, run->item->target);
 	struct kwb_upstream *upstream;
 	uint64_t seed = 0;
-	const char *at;
+	const char *c;
 
 	if (route == NULL) {
 		run_ready(run, KWB_ITEM_ERRORED, "route_removed");
 		return true;
 	}
-	for (at = run->item->id; *at != '\0'; at++)
-		seed = seed * 31 + (unsigned char)*at;
+	for (c = run->item->id; *c != '\0'; c++)
+		seed = seed * 31 + (unsigned char)*c;
 	upstream = run_pick_upstream(run, kwb_route_entry_service(route, seed));
 	if (upstream == NULL)
 		return false;
@@ -179,7 +179,7 @@
 	struct item_run **waiting;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t count = 0;
-	bool left = false;
+	bool has_waiting = false;
 	uint32_t i;
 
 	if (!batch->loaded || batch->closing || batch->handing_over ||
@@ -193,10 +193,10 @@
 
 		if (run->state == ITEM_SCORING && run->not_before_ns <= now_ns)
 			run_request_score(run);
-		left |= run->state == ITEM_SCORING && !run->score_active;
+		has_waiting |= run->state == ITEM_SCORING && !run->score_active;
 		if (run->state != ITEM_WAITING)
 			continue;
-		left = true;
+		has_waiting = true;
 		if (run->not_before_ns <= now_ns)
 			waiting[count++] = run;
 	}
@@ -205,5 +205,5 @@
 		if (!dispatch_run(waiting[i]))
 			break;
 	free(waiting);
-	return left;
+	return has_waiting;
 }
