--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -1,8 +1,9 @@
 /*
- * Who runs which batch. The record's row names its owner; a node heartbeats in
- * a row of its own while it owns any. A batch whose owner has not beaten for a
- * while, or has let go of it, is taken over by a conditional write, first come
- * first served. Two owners for a moment cost work, never a doubled result.
+ * Ownership of batches. The record of a batch names its owner, and an owner
+ * writes a heartbeat to a row of its own. A batch whose owner's heartbeat is
+ * expired, or that was released, is claimed by a conditional write: the first
+ * one wins. Two owners for a moment cost duplicate work, but never a second
+ * result of an item.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -11,6 +12,7 @@
 
 #include "batch.h"
 
+/* A write in progress that claims, releases or completes a batch. */
 struct claim {
 	struct kwb_store_call call;
 	struct kwb_batches *batches;
@@ -39,14 +41,14 @@
 	return NULL;
 }
 
-/* From a heartbeat's value: incarnation and thousandths of a core. */
+/* From a heartbeat's value: "INCARNATION PROCESSOR_MILLI". */
 static uint32_t
 parse_processor_milli(const char *value)
 {
 	unsigned processor = 0;
 
 	if (sscanf(value, "%*u %u", &processor) != 1)
-		return 0; /* a row of an earlier release */
+		return 0; /* written by an earlier release */
 	return processor;
 }
 
@@ -115,7 +117,7 @@
 		kwb_heartbeat_note_assignment(heartbeat, kwb_boot_now_ns());
 }
 
-/* Silent for the whole time that this node itself could read the heartbeats. */
+/* Counts only the time in which this node could read the heartbeats. */
 static bool
 owner_is_expired(struct kwb_batches *batches, const char *node)
 {
@@ -138,7 +140,7 @@
 	    kwb_error_name(answer->error));
 }
 
-/* The row of a node that is long gone is removed, or all would read it. */
+/* Removes the row of a node that is long gone: all nodes read all rows. */
 static void
 heartbeat_remove_old(struct kwb_batches *batches, const struct kwb_row *row)
 {
@@ -169,7 +171,7 @@
 	uint32_t k;
 
 	if (answer->error != 0) {
-		/* Only heartbeats missed while they could be read count. */
+		/* A heartbeat counts as missed only while it could be read. */
 		for (i = 0; i < batches->heartbeats_count; i++) {
 			batches->heartbeats[i].seen_ns = kwb_boot_now_ns();
 			batches->heartbeats[i].reads = 0;
@@ -211,7 +213,7 @@
 	    (unsigned long long)batches->env->incarnation,
 	    batches->env->settings->processor_milli);
 
-	/* An answer that is lost must not hold up the next heartbeat. */
+	/* A lost answer must not delay the next heartbeat. */
 	kwb_store_cancel(store, &batches->heartbeat);
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_put(&tx, TABLE_NODES, "", batches->env->settings->node, value,
@@ -283,15 +285,15 @@
 }
 
 /*
- * When this node may claim a batch that is not its own, UINT64_MAX for not yet.
- * Nodes wait for different times, so that most see the first claim and make
- * none.
+ * When this node may claim a batch of another owner: UINT64_MAX while that
+ * owner lives. Each node waits for a different time, so that most see the
+ * first claim and make none.
  */
 static uint64_t
 claim_time_ns(struct kwb_batches *batches, struct kwb_batch_record *record)
 {
 	if (strcmp(record->owner, batches->env->settings->node) == 0)
-		return 0; /* of an earlier process of this node */
+		return 0; /* owned by an earlier process of this node */
 	if (record->owner[0] != '\0' &&
 	    !owner_is_expired(batches, record->owner)) {
 		record->claim_ns = 0;
@@ -304,13 +306,14 @@
 	return record->claim_ns;
 }
 
+/* Some node has to run the batch. */
 static bool
 needs_owner(const struct kwb_batch_record *record)
 {
 	return !record->ended && !record->listed;
 }
 
-/* Runs of a batch that this node may not run, or need not, come to an end. */
+/* Frees batches that this node no longer owns or that are done. */
 static void
 close_batches(struct kwb_batches *batches)
 {
@@ -326,7 +329,7 @@
 			continue;
 		if (batch->closing && batch->record.listed && record != NULL &&
 		    needs_owner(record) && owner_is_self(batches, record)) {
-			/* Says in the record that nothing is left to do. */
+			/* Stores that all items have a result. */
 			struct kwb_batch_record listed = *record;
 
 			listed.listed = true;
@@ -346,7 +349,7 @@
 void
 owner_check_soon(struct kwb_batches *batches)
 {
-	/* On the loop's next turn: callers may be inside of a batch. */
+	/* On the loop's next turn: callers may be using a batch. */
 	kwb_timer_at(batches->owner_timer, 0);
 }
 
@@ -357,7 +360,7 @@
 	owner_check_soon(batches);
 }
 
-/* Reads again what could not be read, or says when. */
+/* Repeats a failed read when its time has come, else says when that is. */
 static void
 retry_load(struct kwb_batch *batch, uint64_t now_ns, uint64_t *next_ns)
 {
@@ -378,7 +381,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct kwb_batch_record *record;
 	struct kwb_batch *batch;
-	bool heartbeats_read = batches->records_count > 0 &&
+	bool needs_heartbeats = batches->records_count > 0 &&
 	    now_ns - batches->changed_ns < KWB_OWNER_LINGER_NS;
 	uint64_t next_ns = now_ns + KWB_OWNER_CHECK_NS;
 	uint64_t claim_ns;
@@ -398,14 +401,14 @@
 				if (batch != NULL)
 					batch_load(batch);
 			} else if (batch == NULL) {
-				/* Given to this node as it began to stop. */
+				/* Assigned while this node began to stop. */
 				claim_start(batches, record, true);
 			} else if (batch->load_retry_ns != 0) {
 				retry_load(batch, now_ns, &next_ns);
 			}
 			continue;
 		}
-		heartbeats_read = true;
+		needs_heartbeats = true;
 		if (batches->handing_over)
 			continue;
 		claim_ns = claim_time_ns(batches, record);
@@ -420,7 +423,7 @@
 	    now_ns - batches->last_owned_ns < KWB_OWNER_LINGER_NS &&
 	    now_ns - batches->heartbeat_ns >= KWB_OWNER_HEARTBEAT_NS)
 		heartbeat_write(batches);
-	if (heartbeats_read && !batches->handing_over &&
+	if (needs_heartbeats && !batches->handing_over &&
 	    batches->heartbeats_read.driver == NULL) {
 		struct kwb_range range = {.table = TABLE_NODES, .part = ""};
 
