--- a/src/batch/list.c
+++ b/src/batch/list.c
@@ -1,23 +1,26 @@
 /*
- * Results into the store. A result is shown only once it is durable: position
- * and item are both keys of rows that must not exist, so neither is ever
- * written twice, whoever else lists results of the batch.
+ * Lists results: writes them to the store at the next positions of the batch's
+ * list. A result is visible only once it is durable. Position and item are
+ * both keys of rows that must not exist yet, so neither is written twice, even
+ * when another node lists results of the same batch.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "batch.h"
 
-/* Two conditions and two rows each. */
+/* Each result needs two conditions and two rows. */
 #define LIST_ROWS_MAX (KWB_TX_ROWS_MAX / 4)
 
+/* Results that one transaction lists, with the texts that it refers to. */
 struct listing {
 	struct kwb_tx tx;
 	struct kwb_buf values[LIST_ROWS_MAX];
-	char positions[LIST_ROWS_MAX][POSITION_DIGITS + 8];
-	char done[LIST_ROWS_MAX][POSITION_DIGITS + 8 + OBJECT_NAME_BYTES];
+	char positions[LIST_ROWS_MAX][POSITION_DIGITS + 8]; /* keys */
+	char done[LIST_ROWS_MAX][POSITION_DIGITS + 8 +
+	    OBJECT_NAME_BYTES]; /* values of TABLE_DONE */
 	uint32_t count;
-	size_t bytes;
+	size_t bytes; /* of the results */
 };
 
 static void list_answer(
@@ -39,6 +42,7 @@
 	    &result, value);
 }
 
+/* Objects of two processes that run the same item have different names. */
 static void
 result_object_name(const struct item_run *run, char *name)
 {
@@ -64,7 +68,7 @@
 	    kwb_error_name(answer->error));
 }
 
-/* A result that no row can hold lies in an object, before it is listed. */
+/* Stores a result that is too long for a row as an object of its own. */
 static void
 result_object_put(struct item_run *run, const struct kwb_buf *value)
 {
@@ -85,7 +89,10 @@
 		    batch->record.id, run->item->id);
 }
 
-/* False when the result has to wait until its object is there. */
+/*
+ * Replaces a value that is too long for a row by the name of its object. False
+ * when the result has to wait until the object is stored.
+ */
 static bool
 value_is_ready(struct item_run *run, struct kwb_buf *value)
 {
@@ -103,6 +110,7 @@
 	return kwb_buf_printf(value, "%c%s", OBJECT_PREFIX, name) == 0;
 }
 
+/* Adds a ready result, or begins to store its object; false when full. */
 static bool
 listing_add(
     struct listing *listing, struct kwb_batch *batch, struct item_run *run)
@@ -137,7 +145,7 @@
 	    &listing->tx, TABLE_DONE, batch->record.id, run->item->id, 0);
 	kwb_tx_put(&listing->tx, TABLE_RESULTS, batch->record.id, position,
 	    value->data, value->used_bytes);
-	/* The item's row names the object, too, for the sweep to find. */
+	/* The item's row names the object, too, so that the sweep finds it. */
 	snprintf(done, sizeof(listing->done[at]), "%0*u%s%s", POSITION_DIGITS,
 	    batch->listed + at, run->result_in_object ? " " : "",
 	    run->result_in_object ? value->data : "");
@@ -179,8 +187,7 @@
 	}
 }
 
-/* All items have a result: no other node needs to heartbeats_read after the
- * batch. */
+/* All items have a result: no node needs to run the batch any more. */
 void
 batch_mark_complete(struct kwb_batch *batch)
 {
@@ -244,8 +251,8 @@
 }
 
 /*
- * Reads what is listed, after an answer that leaves it in doubt. Until that is
- * known nothing more is listed: the next position depends on it.
+ * Reads which items are listed, after an unclear answer to a transaction. Until
+ * that is known nothing more is listed: the next position depends on it.
  */
 void
 batch_reconcile(struct kwb_batch *batch)
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -1,6 +1,7 @@
 /*
- * A batch in memory: from its submission, or from the store after another
- * node ran it.
+ * Creates and frees a batch in memory, from its submission or from the store
+ * when another process ran it before: first the submission, then the items
+ * that have results, then the checkpointed texts of the others.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -65,6 +66,7 @@
 	free(batch);
 }
 
+/* Index of the group of that name, which is added if it is new. */
 static uint32_t
 group_find_or_add(struct kwb_batch *batch, const char *name)
 {
@@ -79,9 +81,10 @@
 }
 
 /*
- * A trainer waits for some of its groups, whichever are whole first, but
- * always for those that it carried_over over, which come first. Of the others
- * the groups with the longest items are the ones it will likely not wait for.
+ * A trainer waits for target_groups groups, whichever are complete first, but
+ * always for those carried over from the step before, which come first in the
+ * batch. Of the others, the groups with the longest items are surplus: the
+ * trainer will likely not wait for them.
  */
 static void
 mark_surplus_groups(struct kwb_batch *batch)
@@ -184,7 +187,7 @@
 	kwb_batches_dispatch(batch->batches);
 }
 
-/* Reads the next rows of a table; the callback is the same. */
+/* Reads the next page of a range, with the same callback. */
 bool
 batch_read_more(struct kwb_batch *batch, const char *table,
     const struct kwb_store_answer *answer)
@@ -203,7 +206,7 @@
 	return true;
 }
 
-/* Items that have a result, by this node or another. */
+/* Marks the items of these rows as listed, by this node or another. */
 void
 batch_mark_listed(
     struct kwb_batch *batch, const struct kwb_store_answer *answer)
@@ -251,7 +254,7 @@
 		load_failed(batch, code);
 }
 
-/* From now on there may be results of it, should it be loaded again. */
+/* From now on results may exist, so a later load has to read them. */
 void
 batch_mark_started(struct kwb_batch *batch)
 {
--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -1,11 +1,12 @@
 /*
- * Texts that items have so far, kept in the store in chunk_writes: from time to
- * time, so that a node that takes the batch over resumes long items, and once
- * more when the batch is handed over at a planned stop.
+ * Checkpoints: the texts that items have so far are written to the store
+ * periodically, and once more when the batch is handed over at a planned stop.
+ * A node that claims the batch resumes its items from them.
  *
- * A chunk holds the events since the one before it. Two owners may write for a
- * moment, so a chunk names the text that it belongs to, and the first chunk of
- * a resumed text the one it goes on from; see kwb_text_chunk_follows().
+ * A text is stored in chunks, each with the events since the one before. Two
+ * nodes may briefly own a batch, so a chunk names the text that it belongs to,
+ * and the first chunk of a resumed text the one that it continues; see
+ * kwb_text_chunk_follows().
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,9 +14,9 @@
 
 #include "batch.h"
 
-#define CHUNK_EVENT_DIGITS 8 /* keys sort by event */
+#define CHUNK_EVENT_DIGITS 8 /* zero-padded, so that keys sort by event */
 
-/* What one transaction writes. */
+/* Chunks of one transaction. */
 struct chunk_writes {
 	struct kwb_tx tx;
 	struct kwb_buf values[CHUNKS_MAX];
@@ -47,29 +48,30 @@
 	run->resumed = false;
 }
 
-/* Adds an item's events since its last chunk. */
+/*
+ * Adds an item's events since its last chunk. Events that are too long for a
+ * row are not stored: they would be generated again.
+ */
 static void
-chunk_add(struct chunk_writes *chunk_writes, struct item_run *run)
+chunk_add(struct chunk_writes *writes, struct item_run *run)
 {
-	uint32_t at = chunk_writes->count;
-	struct kwb_buf *value = &chunk_writes->values[at];
-	struct kwb_text_chunk *saved_chunk = &run->saved_chunk;
-	size_t begin =
-	    run->saved_bytes + (saved_chunk->last > 0); /* line feed */
+	uint32_t at = writes->count;
+	struct kwb_buf *value = &writes->values[at];
+	struct kwb_text_chunk *saved = &run->saved_chunk;
+	size_t begin = run->saved_bytes + (saved->last > 0); /* line feed */
 	uint32_t i;
 
-	if (saved_chunk->text == 0 || run->resumed) {
-		saved_chunk->before = saved_chunk->text;
-		saved_chunk->resumed_at = saved_chunk->last;
-		saved_chunk->text = new_text_id(run->batch->batches);
+	if (saved->text == 0 || run->resumed) {
+		saved->before = saved->text;
+		saved->resumed_at = saved->last;
+		saved->text = new_text_id(run->batch->batches);
 		run->resumed = false;
 	}
 	kwb_buf_init(value);
 	kwb_buf_printf(value, "%llu %llu %llu %llu %llu",
-	    (unsigned long long)saved_chunk->text,
-	    (unsigned long long)saved_chunk->before,
-	    (unsigned long long)saved_chunk->resumed_at,
-	    (unsigned long long)saved_chunk->last + 1,
+	    (unsigned long long)saved->text, (unsigned long long)saved->before,
+	    (unsigned long long)saved->resumed_at,
+	    (unsigned long long)saved->last + 1,
 	    (unsigned long long)run->last_event);
 	for (i = 0; i < run->versions_count; i++)
 		kwb_buf_printf(
@@ -78,36 +80,39 @@
 	kwb_buf_add(
 	    value, run->text.data + begin, run->text.used_bytes - begin);
 	if (value->used_bytes > KWB_STORE_VALUE_MAX_BYTES) {
-		kwb_buf_finish(value); /* too long for a row: made anew */
+		kwb_buf_finish(value);
 		return;
 	}
-	snprintf(chunk_writes->keys[at], sizeof(chunk_writes->keys[at]),
-	    "%s.%0*llu", run->item->id, CHUNK_EVENT_DIGITS,
-	    (unsigned long long)saved_chunk->last + 1);
-	kwb_tx_put(&chunk_writes->tx, TABLE_PARTIAL, run->batch->record.id,
-	    chunk_writes->keys[at], value->data, value->used_bytes);
+	snprintf(writes->keys[at], sizeof(writes->keys[at]), "%s.%0*llu",
+	    run->item->id, CHUNK_EVENT_DIGITS,
+	    (unsigned long long)saved->last + 1);
+	kwb_tx_put(&writes->tx, TABLE_PARTIAL, run->batch->record.id,
+	    writes->keys[at], value->data, value->used_bytes);
 	run->sending_event = run->last_event;
 	run->sending_bytes = run->text.used_bytes;
-	chunk_writes->bytes += value->used_bytes;
-	chunk_writes->count++;
+	writes->bytes += value->used_bytes;
+	writes->count++;
 }
 
-/* Sends them under a call of the batch; false when there are none. */
+/* Writes the chunks by a call of the batch; false when nothing was sent. */
 static bool
-chunks_send(struct chunk_writes *chunk_writes, struct kwb_batch *batch,
+chunks_send(struct chunk_writes *writes, struct kwb_batch *batch,
     struct kwb_store_call *call)
 {
 	struct kwb_store *store = batch->batches->env->store;
-	bool sent = chunk_writes->count > 0 &&
-	    store->ops->transact(store, &chunk_writes->tx, call) == 0;
+	bool sent = writes->count > 0 &&
+	    store->ops->transact(store, &writes->tx, call) == 0;
 	uint32_t i;
 
-	for (i = 0; i < chunk_writes->count; i++)
-		kwb_buf_finish(&chunk_writes->values[i]);
+	for (i = 0; i < writes->count; i++)
+		kwb_buf_finish(&writes->values[i]);
 	return sent;
 }
 
-/* After a failure the same events are sent again, under the same keys. */
+/*
+ * Notes the outcome of the last write. After a failure the same events are
+ * written again, under the same keys.
+ */
 static void
 chunks_mark_sent(struct kwb_batch *batch, bool written)
 {
@@ -124,7 +129,7 @@
 	}
 }
 
-/* ---- Reading ------------------------------------------------------------ */
+/* ---- Restoring ----------------------------------------------------------- */
 
 static bool
 chunk_parse(struct kwb_text_chunk *chunk, uint64_t *versions,
@@ -182,7 +187,7 @@
 	run->resumed = true;
 }
 
-/* ---- Handing over ------------------------------------------------------- */
+/* ---- Handing over -------------------------------------------------------- */
 
 static void
 hand_over_answer(
@@ -230,25 +235,24 @@
 	kwb_buf_finish(&value);
 }
 
-/* Writes the texts that items have so far, then lets go of the batch. */
+/* Writes the next unsaved texts, and releases the batch after the last. */
 static void
 hand_over_step(struct kwb_batch *batch)
 {
-	static struct chunk_writes chunk_writes;
+	static struct chunk_writes writes;
 	struct item_run *run;
 
-	memset(&chunk_writes, 0, sizeof(chunk_writes));
+	memset(&writes, 0, sizeof(writes));
 	while (batch->hand_over_next < batch->spec.items_count &&
-	    chunk_writes.count < CHUNKS_MAX &&
-	    chunk_writes.bytes < KWB_TX_MAX_BYTES) {
+	    writes.count < CHUNKS_MAX && writes.bytes < KWB_TX_MAX_BYTES) {
 		run = &batch->runs[batch->hand_over_next++];
 		if (run->last_event > run->saved_chunk.last &&
 		    run->state != ITEM_LISTED)
-			chunk_add(&chunk_writes, run);
+			chunk_add(&writes, run);
 	}
 	batch->call.context = batch;
 	batch->call.on_done = hand_over_answer;
-	if (!chunks_send(&chunk_writes, batch, &batch->call))
+	if (!chunks_send(&writes, batch, &batch->call))
 		release_batch(batch);
 }
 
@@ -266,12 +270,12 @@
 	kwb_store_cancel(batch->batches->env->store, &batch->call);
 	kwb_store_cancel(batch->batches->env->store, &batch->checkpoint_call);
 	batch->listing = false;
-	batch->in_doubt = true; /* the listing may still be done */
+	batch->in_doubt = true; /* a listing may still take effect */
 	batch->hand_over_next = batch->loaded ? 0 : batch->spec.items_count;
 	hand_over_step(batch);
 }
 
-/* ---- From time to time --------------------------------------------------- */
+/* ---- Periodic checkpoints ------------------------------------------------ */
 
 static void
 checkpoint_answer(
@@ -286,7 +290,7 @@
 		    kwb_error_name(answer->error));
 }
 
-/* Short texts are sooner made anew than kept. */
+/* Generating a short text again costs less than checkpointing it. */
 static bool
 is_checkpoint_due(const struct item_run *run)
 {
@@ -298,7 +302,7 @@
 void
 batch_checkpoint(struct kwb_batch *batch)
 {
-	static struct chunk_writes chunk_writes;
+	static struct chunk_writes writes;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
@@ -307,18 +311,17 @@
 	    now_ns - batch->checkpoint_started_ns < KWB_CHECKPOINT_NS)
 		return;
 	batch->checkpoint_started_ns = now_ns;
-	memset(&chunk_writes, 0, sizeof(chunk_writes));
-	for (i = 0;
-	     i < batch->spec.items_count && chunk_writes.count < CHUNKS_MAX &&
-	     chunk_writes.bytes < KWB_TX_MAX_BYTES;
+	memset(&writes, 0, sizeof(writes));
+	for (i = 0; i < batch->spec.items_count && writes.count < CHUNKS_MAX &&
+	     writes.bytes < KWB_TX_MAX_BYTES;
 	     i++)
 		if (is_checkpoint_due(&batch->runs[i]))
-			chunk_add(&chunk_writes, &batch->runs[i]);
-	if (chunk_writes.count == 0)
+			chunk_add(&writes, &batch->runs[i]);
+	if (writes.count == 0)
 		return;
 	batch->checkpoint_call.context = batch;
 	batch->checkpoint_call.on_done = checkpoint_answer;
-	if (!chunks_send(&chunk_writes, batch, &batch->checkpoint_call)) {
+	if (!chunks_send(&writes, batch, &batch->checkpoint_call)) {
 		chunks_mark_sent(batch, false);
 		kwb_log(KWB_LOG_INFO, "batch",
 		    "event=checkpoint_lost batch=%s error=not_sent",
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -1,7 +1,7 @@
 /*
- * Items at upstreams: a generation is streamed, and resumed after its last
- * event elsewhere when its stream breaks off or falls silent. Its reward is
- * asked for once the text is whole.
+ * Runs one item at an upstream. Its generation is streamed; when the stream
+ * breaks off or stalls, it is resumed after its last event at another upstream.
+ * Once the text is complete, its reward is requested.
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -57,6 +57,7 @@
 	run->receipt = NULL;
 }
 
+/* By the clock of the store: when the item may be given up. */
 static uint64_t
 ttl_deadline_ms(const struct item_run *run)
 {
@@ -80,7 +81,7 @@
 {
 	uint64_t now_ms = kwb_store_now_ms(run_env(run)->store);
 
-	/* Another node accepted it, by a clock that this one may be behind. */
+	/* The clock of the node that accepted it may be ahead. */
 	if (now_ms >= run->batch->record.accepted_ms)
 		kwb_histogram_add(KWB_HISTOGRAM_ITEM,
 		    (now_ms - run->batch->record.accepted_ms) * KWB_MS_NS);
@@ -106,6 +107,7 @@
 	kwb_batches_dispatch(run->batch->batches);
 }
 
+/* Notes the version of the weights that made the newest event. */
 static void
 add_version(struct item_run *run)
 {
@@ -118,6 +120,7 @@
 		run->versions[run->versions_count++] = run->version;
 }
 
+/* Appends an event to the text; those that it has already are ignored. */
 static void
 on_event(void *context, const struct kwb_event *event)
 {
@@ -149,7 +152,7 @@
 	add_version(run);
 }
 
-/* The first bytes of an answer say under which weights the events come. */
+/* The answer's head names the version of weights that generates. */
 static void
 exchange_head(struct kwb_exchange *exchange)
 {
@@ -202,13 +205,13 @@
 	route = kwb_node_config_route(
 	    *run_env(run)->config, run->batch->record.host, run->item->target);
 	if (route != NULL && route->single_version) {
-		/* What came under another version is of no use. */
+		/* Events of two versions must not be mixed: begins anew. */
 		run_reset_text(run);
 		run_retry(run, 0, "versions_mixed");
 	}
 }
 
-/* An answer that is no stream: refused, failed, or never to be done. */
+/* Handles an answer without stream: refused, failed, or impossible. */
 static void
 handle_refusal(struct item_run *run, const struct kwb_upstream_answer *answer)
 {
