--- a/src/batch/accept.c
+++ b/src/batch/accept.c
@@ -1,7 +1,8 @@
 /*
- * Accepting a submission: its text as an object, then its record under the
- * condition that there is none. Only the record's transaction accepts, so a
- * failure before it is a true refusal, and a doubt after it is read back.
+ * Accepts a submission. Its text is stored as an object, then the batch's
+ * record is written on condition that there is none. Only that transaction
+ * accepts the batch: after an earlier failure the submission is refused, and
+ * after an unclear answer to it the record is read back.
  */
 #include <stdio.h>
 #include <string.h>
@@ -30,7 +31,7 @@
 	accept->on_done(accept);
 }
 
-/* The batch is ours: it begins from memory, without a read. */
+/* Runs the batch from memory when this node is its owner. */
 static void
 start_batch(struct kwb_batch_accept *accept)
 {
@@ -45,7 +46,7 @@
 		return;
 	batch = batch_new(batches, &accept->record);
 	if (batch == NULL || batch_set_spec(batch, &accept->spec) != 0)
-		return; /* loaded from the store later */
+		return; /* the owner's check loads it from the store */
 	batch_mark_started(batch);
 	batch->loaded = true;
 	kwb_batches_dispatch(batches);
@@ -88,7 +89,10 @@
 				       : kwb_error_name(answer->error));
 }
 
-/* The write may be done later still, so "not there" refuses nothing. */
+/*
+ * The write may still take effect after this read, so a missing record doesn't
+ * mean that the submission was refused.
+ */
 static void
 accept_read_back(struct kwb_batch_accept *accept)
 {
@@ -134,9 +138,9 @@
 }
 
 /*
- * The node that ran the trainer's last batch gets the next one, too, unless it
- * is much smaller than this one: it has connections to the model's homes and
- * knows what it has placed there.
+ * The owner of the model's newest batch gets the next one, too, unless its
+ * node is much smaller than this one: it has connections to the upstreams that
+ * hold the model and knows which items it runs there.
  */
 static void
 choose_owner(struct kwb_batch_accept *accept)
@@ -156,6 +160,7 @@
 	record->owner_incarnation = newest->owner_incarnation;
 }
 
+/* Fills the new record from the parsed submission. */
 static void
 record_fill(struct kwb_batch_accept *accept)
 {
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -1,5 +1,6 @@
 /*
- * Ending a batch: a conditional write of its record, tried until it is certain.
+ * Ends a batch: a conditional write of its record, retried until its outcome
+ * is certain or the deadline has passed.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -20,6 +21,7 @@
 	end->on_done(end);
 }
 
+/* Reads the record again after a pause, unless the deadline comes first. */
 static void
 end_retry(struct kwb_batch_end *end, int error)
 {
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -1,7 +1,7 @@
 /*
- * Reading results and bodies. Results lie in the store under their positions
- * and never change, so any node reads them there; an empty list is held back
- * until a result lands or the reader's wait is over.
+ * Reads results and item bodies. Results are stored by position and never
+ * change, so any node can read them. While there is no new result, an answer
+ * is held back until one is listed or the reader's wait is over.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -50,7 +50,7 @@
 	if (answer->error != 0) {
 		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
-			? KWB_ERR_STORE_UNKNOWN /* its row is there */
+			? KWB_ERR_STORE_UNKNOWN /* a row names it */
 			: answer->error);
 		return;
 	}
@@ -60,7 +60,7 @@
 		&text, 1, read->total, read->next, &read->answer));
 }
 
-/* One result that is too long for a row: it comes alone. */
+/* Reads one result that is too long for a row; it is sent alone. */
 static void
 read_result_object(struct kwb_batch_read *read, const char *name)
 {
@@ -184,7 +184,7 @@
 		read_results(read);
 }
 
-/* Asks the store itself: only that makes "no such batch" certain. */
+/* Asks the store: only its answer makes "no such batch" certain. */
 static void
 read_record(struct kwb_batch_read *read)
 {
@@ -224,7 +224,7 @@
 	if (answer->error != 0) {
 		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
-			? KWB_ERR_STORE_UNKNOWN /* its record is there */
+			? KWB_ERR_STORE_UNKNOWN /* its record exists */
 			: answer->error);
 		return;
 	}
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -1,6 +1,6 @@
 /*
- * The reward of an item whose text is whole: asked for until it comes, or until
- * its route's attempts have failed.
+ * Requests the reward (score) of an item whose text is complete, until it comes
+ * or has failed as often as its route allows.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -34,7 +34,7 @@
 	kwb_batches_dispatch(run->batch->batches);
 }
 
-/* Time that the trainer has left for this step. */
+/* Time until the trainer's step is due, 0 when it is over. */
 static uint64_t
 time_left_ns(const struct item_run *run)
 {
@@ -49,7 +49,7 @@
 	return due_ms > now_ms ? (due_ms - now_ms) * KWB_MS_NS : 0;
 }
 
-/* Whether callers would miss the place that this reward takes. */
+/* Whether this request would take a slot that callers need. */
 static bool
 score_must_wait(const struct item_run *run, const char *service)
 {
@@ -72,7 +72,7 @@
 	return !kwb_score_can_start(&input);
 }
 
-/* Asks for the reward; retried by the dispatch_timer when it does not come. */
+/* Requests the reward; repeated by batch_dispatch() when it fails. */
 void
 run_request_score(struct item_run *run)
 {
@@ -102,7 +102,7 @@
 	}
 	service = kwb_route_entry_service(route, (uint64_t)random());
 	if (score_must_wait(run, service)) {
-		run->not_before_ns = now_ns; /* looked at as soon as one ends */
+		run->not_before_ns = now_ns; /* at the next dispatch */
 		return;
 	}
 	run->not_before_ns = UINT64_MAX;
--- a/src/batch/sweep.c
+++ b/src/batch/sweep.c
@@ -1,7 +1,7 @@
 /*
- * Removes batches that nobody may ask for any more: what belongs to them first,
- * their records last, so that a sweep cut short is begun again by the next
- * node.
+ * Removes expired batches, which nobody may ask for any more: first the rows
+ * and objects that belong to a batch, its record last, so that the next node
+ * can begin a removal that was cut short again.
  */
 #include <stdio.h>
 #include <string.h>
@@ -40,7 +40,7 @@
 	sweep_step(batches);
 }
 
-/* The object of a long result goes before the row that names it. */
+/* Removes the object of a long result, before the row that names it. */
 static void
 sweep_drop_result_object(struct kwb_batches *batches, const char *name)
 {
@@ -53,7 +53,7 @@
 		sweep_complete(batches, KWB_ERR_STORE_REFUSED);
 }
 
-/* Removes the rows that were read; none means that the next step is due. */
+/* Removes the rows that were read; without rows, begins the next step. */
 static void
 rows_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
@@ -85,7 +85,7 @@
 		kwb_tx_remove(&tx, answer->rows[i].table,
 		    batches->sweep_record.id, answer->rows[i].key);
 		if (name != NULL)
-			break; /* its object is gone, now the row */
+			break; /* its object is removed, now its row */
 	}
 	call->on_done = removed_answer;
 	if (store->ops->transact(store, &tx, call) != 0)
@@ -104,7 +104,7 @@
 	    batches->env->store, &range, &batches->sweep);
 }
 
-/* Positions are known without a read of the results, which are large. */
+/* Positions are known, so the results, which are large, aren't read. */
 static int
 sweep_results(struct kwb_batches *batches)
 {
@@ -184,6 +184,7 @@
 		sweep_complete(batches, code);
 }
 
+/* Kept for a quarter longer than the setting says. */
 bool
 batch_is_expired(
     const struct kwb_batches *batches, const struct kwb_batch_record *record)
@@ -195,7 +196,7 @@
 	    kwb_store_now_ms(batches->env->store);
 }
 
-/* Begins with the oldest batch that is due and that this node is to remove. */
+/* Begins with the oldest expired batch that this node may remove. */
 void
 sweep_start_next(struct kwb_batches *batches)
 {
