--- a/src/batch/partial.c
+++ b/src/batch/checkpoints.c
@@ -57,21 +57,23 @@
 {
 	uint32_t at = writes->count;
 	struct kwb_buf *value = &writes->values[at];
-	struct kwb_text_chunk *saved = &run->saved_chunk;
-	size_t begin = run->saved_bytes + (saved->last > 0); /* line feed */
+	struct kwb_text_chunk *last_chunk = &run->saved_chunk;
+	size_t begin =
+	    run->saved_bytes + (last_chunk->last > 0); /* line feed */
 	uint32_t i;
 
-	if (saved->text == 0 || run->resumed) {
-		saved->before = saved->text;
-		saved->resumed_at = saved->last;
-		saved->text = new_text_id(run->batch->batches);
+	if (last_chunk->text == 0 || run->resumed) {
+		last_chunk->before = last_chunk->text;
+		last_chunk->resumed_at = last_chunk->last;
+		last_chunk->text = new_text_id(run->batch->batches);
 		run->resumed = false;
 	}
 	kwb_buf_init(value);
 	kwb_buf_printf(value, "%llu %llu %llu %llu %llu",
-	    (unsigned long long)saved->text, (unsigned long long)saved->before,
-	    (unsigned long long)saved->resumed_at,
-	    (unsigned long long)saved->last + 1,
+	    (unsigned long long)last_chunk->text,
+	    (unsigned long long)last_chunk->before,
+	    (unsigned long long)last_chunk->resumed_at,
+	    (unsigned long long)last_chunk->last + 1,
 	    (unsigned long long)run->last_event);
 	for (i = 0; i < run->versions_count; i++)
 		kwb_buf_printf(
@@ -85,7 +87,7 @@
 	}
 	snprintf(writes->keys[at], sizeof(writes->keys[at]), "%s.%0*llu",
 	    run->item->id, CHUNK_EVENT_DIGITS,
-	    (unsigned long long)saved->last + 1);
+	    (unsigned long long)last_chunk->last + 1);
 	kwb_tx_put(&writes->tx, TABLE_PARTIAL, run->batch->record.id,
 	    writes->keys[at], value->data, value->used_bytes);
 	run->sending_event = run->last_event;
--- a/src/batch/item.c
+++ b/src/batch/item_rules.c
@@ -1,8 +1,8 @@
 /*
  * Decisions on items, without side effects: which one starts first, which one
  * has stalled, moves or is scored, and which stored text continues another.
- * They are made for batches whose longest item takes nearly all of the time
- * that the trainer has for a step.
+ * They suit batches whose longest item takes nearly all of the time that the
+ * trainer has for a step.
  */
 #include "kwb_node.h"
 
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -82,7 +82,7 @@
 
 /*
  * A trainer waits for target_groups groups, whichever are complete first, but
- * always for those carried over from the step before, which come first in the
+ * always for those left from the step before, which come first in the
  * batch. Of the others, the groups with the longest items are surplus: the
  * trainer will likely not wait for them.
  */
--- a/src/batch/own.c
+++ b/src/batch/ownership.c
@@ -140,7 +140,7 @@
 	    kwb_error_name(answer->error));
 }
 
-/* Removes the row of a node that is long gone: all nodes read all rows. */
+/* Removes the row of a node that is long gone: each node reads all rows. */
 static void
 heartbeat_remove_old(struct kwb_batches *batches, const struct kwb_row *row)
 {
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -152,7 +152,7 @@
 	add_version(run);
 }
 
-/* The answer's head names the version of weights that generates. */
+/* The headers of an answer name the version of weights that generates. */
 static void
 exchange_head(struct kwb_exchange *exchange)
 {
