--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -131,7 +131,7 @@
 /* score.c: the reward of an item */
 void run_request_score(struct item_run *run);
 
-/* dispatch.c: upstreams for items */
+/* dispatch_timer.c: upstreams for items */
 void run_get_rank(const struct item_run *run, struct kwb_item_rank *rank);
 bool batch_dispatch(
     struct kwb_batch *batch); /* starts items; true when some still wait */
@@ -143,7 +143,7 @@
 void batch_reconcile(struct kwb_batch *batch); /* reads what is listed */
 void batch_mark_complete(struct kwb_batch *batch);
 
-/* ownership.c: ownership of batches */
+/* own.c: ownership of batches */
 int owner_init(struct kwb_batches *batches); /* 0 or KWB_ERR_MEMORY */
 void owner_finish(struct kwb_batches *batches);
 void owner_note_assignment(struct kwb_batches *batches,
@@ -157,7 +157,7 @@
 void owner_check_soon(
     struct kwb_batches *batches); /* claims, loads and frees batches */
 
-/* checkpoints.c: texts of items in the store */
+/* partial.c: texts of items in the store */
 void batch_hand_over(struct kwb_batch *batch);	/* writes texts, releases */
 void batch_checkpoint(struct kwb_batch *batch); /* writes texts that grew */
 void chunk_restore(struct kwb_batch *batch,
@@ -169,7 +169,7 @@
 bool batch_is_expired(const struct kwb_batches *batches,
     const struct kwb_batch_record *record); /* nobody may ask for it */
 
-/* batches.c: records of all batches */
+/* records.c: records of all batches */
 void records_update(struct kwb_batches *batches,
     const struct kwb_batch_record *record); /* unless a newer one is known */
 void record_add_to_tx(const struct kwb_batch_record *record, struct kwb_tx *tx,
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -82,9 +82,9 @@
 
 /*
  * A trainer waits for target_groups groups, whichever are complete first, but
- * always for those left from the step before, which come first in the
- * batch. Of the others, the groups with the longest items are surplus: the
- * trainer will likely not wait for them.
+ * always for those left from the step before, which come first in the batch.
+ * Of the others, the groups with the longest items are surplus: the trainer
+ * will likely not wait for them.
  */
 static void
 mark_surplus_groups(struct kwb_batch *batch)
