--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -131,7 +131,7 @@
 /* score.c: the reward of an item */
 void run_request_score(struct item_run *run);
 
-/* dispatch_timer.c: upstreams for items */
+/* pump.c: upstreams for items */
 void run_get_rank(const struct item_run *run, struct kwb_item_rank *rank);
 bool batch_dispatch(
     struct kwb_batch *batch); /* starts items; true when some still wait */
@@ -169,7 +169,7 @@
 bool batch_is_expired(const struct kwb_batches *batches,
     const struct kwb_batch_record *record); /* nobody may ask for it */
 
-/* records.c: records of all batches */
+/* heads.c: records of all batches */
 void records_update(struct kwb_batches *batches,
     const struct kwb_batch_record *record); /* unless a newer one is known */
 void record_add_to_tx(const struct kwb_batch_record *record, struct kwb_tx *tx,
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -82,14 +82,14 @@
 
 /*
  * A trainer waits for target_groups groups, whichever are complete first, but
- * always for those left from the step before, which come first in the batch.
- * Of the others, the groups with the longest items are surplus: the trainer
- * will likely not wait for them.
+ * always for those carried over, which come first in the batch. Of the others,
+ * the groups with the longest items are surplus: the trainer will likely not
+ * wait for them.
  */
 static void
 mark_surplus_groups(struct kwb_batch *batch)
 {
-	uint32_t carried_over = batch->spec.target_groups / 2;
+	uint32_t carried = batch->spec.target_groups / 2;
 	uint32_t surplus_count = batch->groups_count > batch->spec.target_groups
 	    ? batch->groups_count - batch->spec.target_groups
 	    : 0;
@@ -100,7 +100,7 @@
 		return;
 	for (; surplus_count > 0; surplus_count--) {
 		longest = NULL;
-		for (i = carried_over; i < batch->groups_count; i++)
+		for (i = carried; i < batch->groups_count; i++)
 			if (!batch->groups[i].surplus &&
 			    (longest == NULL ||
 				batch->groups[i].longest_hint >
