--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1087,18 +1087,19 @@
 
 /*
  * A part of an item's text, as checkpointed in the store. Each owner that
- * generates gives its text an id of its own.
+ * generates gives its text an id of its own; a resumed text continues the
+ * text of an earlier owner, its parent.
  */
 struct kwb_text_chunk {
-	uint64_t text;	     /* id of the text it belongs to, never 0 */
-	uint64_t before;     /* id of the text that this one resumes; 0 none */
-	uint64_t resumed_at; /* last event taken from that one */
-	uint64_t first;	     /* number of its first event, from 1 */
-	uint64_t last;	     /* number of its last event */
+	uint64_t text_id;	    /* of the text it belongs to, never 0 */
+	uint64_t parent_text_id;    /* of the text that was resumed; 0 none */
+	uint64_t parent_last_event; /* last event taken from that one */
+	uint64_t first_event;	    /* number of its first event, from 1 */
+	uint64_t last_event;	    /* number of its last event */
 };
 
 bool kwb_text_chunk_follows(const struct kwb_text_chunk *chunk,
-    const struct kwb_text_chunk *before); /* continues that one; pure */
+    const struct kwb_text_chunk *previous); /* continues that one; pure */
 
 /* What batches use of the node. */
 struct kwb_batch_env {
--- a/src/batch/item.c
+++ b/src/batch/item.c
@@ -108,12 +108,12 @@
  */
 bool
 kwb_text_chunk_follows(
-    const struct kwb_text_chunk *chunk, const struct kwb_text_chunk *before)
+    const struct kwb_text_chunk *chunk, const struct kwb_text_chunk *previous)
 {
-	if (chunk->first != before->last + 1)
+	if (chunk->first_event != previous->last_event + 1)
 		return false;
-	if (chunk->text == before->text)
+	if (chunk->text_id == previous->text_id)
 		return true;
-	return chunk->before == before->text &&
-	    chunk->resumed_at == before->last;
+	return chunk->parent_text_id == previous->text_id &&
+	    chunk->parent_last_event == previous->last_event;
 }
--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -59,21 +59,21 @@
 	struct kwb_buf *value = &writes->values[at];
 	struct kwb_text_chunk *last_chunk = &run->saved_chunk;
 	size_t begin =
-	    run->saved_bytes + (last_chunk->last > 0); /* line feed */
+	    run->saved_bytes + (last_chunk->last_event > 0); /* line feed */
 	uint32_t i;
 
-	if (last_chunk->text == 0 || run->resumed) {
-		last_chunk->before = last_chunk->text;
-		last_chunk->resumed_at = last_chunk->last;
-		last_chunk->text = new_text_id(run->batch->batches);
+	if (last_chunk->text_id == 0 || run->resumed) {
+		last_chunk->parent_text_id = last_chunk->text_id;
+		last_chunk->parent_last_event = last_chunk->last_event;
+		last_chunk->text_id = new_text_id(run->batch->batches);
 		run->resumed = false;
 	}
 	kwb_buf_init(value);
 	kwb_buf_printf(value, "%llu %llu %llu %llu %llu",
-	    (unsigned long long)last_chunk->text,
-	    (unsigned long long)last_chunk->before,
-	    (unsigned long long)last_chunk->resumed_at,
-	    (unsigned long long)last_chunk->last + 1,
+	    (unsigned long long)last_chunk->text_id,
+	    (unsigned long long)last_chunk->parent_text_id,
+	    (unsigned long long)last_chunk->parent_last_event,
+	    (unsigned long long)last_chunk->last_event + 1,
 	    (unsigned long long)run->last_event);
 	for (i = 0; i < run->versions_count; i++)
 		kwb_buf_printf(
@@ -87,7 +87,7 @@
 	}
 	snprintf(writes->keys[at], sizeof(writes->keys[at]), "%s.%0*llu",
 	    run->item->id, CHUNK_EVENT_DIGITS,
-	    (unsigned long long)last_chunk->last + 1);
+	    (unsigned long long)last_chunk->last_event + 1);
 	kwb_tx_put(&writes->tx, TABLE_PARTIAL, run->batch->record.id,
 	    writes->keys[at], value->data, value->used_bytes);
 	run->sending_event = run->last_event;
@@ -124,7 +124,7 @@
 		struct item_run *run = &batch->runs[i];
 
 		if (written && run->sending_event != 0) {
-			run->saved_chunk.last = run->sending_event;
+			run->saved_chunk.last_event = run->sending_event;
 			run->saved_bytes = run->sending_bytes;
 		}
 		run->sending_event = 0;
@@ -137,8 +137,8 @@
 chunk_parse(struct kwb_text_chunk *chunk, uint64_t *versions,
     uint32_t *versions_count, const struct kwb_row *row, const char **text)
 {
-	uint64_t *const fields[] = {&chunk->text, &chunk->before,
-	    &chunk->resumed_at, &chunk->first, &chunk->last};
+	uint64_t *const fields[] = {&chunk->text_id, &chunk->parent_text_id,
+	    &chunk->parent_last_event, &chunk->first_event, &chunk->last_event};
 	char *at = row->value;
 	uint32_t i;
 
@@ -149,8 +149,8 @@
 	     (*versions_count)++)
 		versions[*versions_count] = strtoull(at + 1, &at, 10);
 	*text = at + 1;
-	return *at == '\n' && chunk->text != 0 && chunk->first != 0 &&
-	    chunk->last >= chunk->first;
+	return *at == '\n' && chunk->text_id != 0 && chunk->first_event != 0 &&
+	    chunk->last_event >= chunk->first_event;
 }
 
 void
@@ -174,7 +174,7 @@
 	}
 	if (!kwb_text_chunk_follows(&chunk, &run->saved_chunk))
 		return;
-	if ((run->saved_chunk.last > 0 &&
+	if ((run->saved_chunk.last_event > 0 &&
 		kwb_buf_add(&run->text, "\n", 1) != 0) ||
 	    kwb_buf_add(&run->text, text,
 		row->value_bytes - (size_t)(text - row->value)) != 0) {
@@ -185,7 +185,7 @@
 	run->versions_count = versions_count;
 	run->saved_chunk = chunk;
 	run->saved_bytes = run->text.used_bytes;
-	run->last_event = chunk.last;
+	run->last_event = chunk.last_event;
 	run->resumed = true;
 }
 
@@ -248,7 +248,7 @@
 	while (batch->hand_over_next < batch->spec.items_count &&
 	    writes.count < CHUNKS_MAX && writes.bytes < KWB_TX_MAX_BYTES) {
 		run = &batch->runs[batch->hand_over_next++];
-		if (run->last_event > run->saved_chunk.last &&
+		if (run->last_event > run->saved_chunk.last_event &&
 		    run->state != ITEM_LISTED)
 			chunk_add(&writes, run);
 	}
@@ -298,7 +298,8 @@
 {
 	return run->state == ITEM_RUNNING &&
 	    run->last_event >= KWB_CHECKPOINT_MIN_EVENTS &&
-	    run->last_event >= run->saved_chunk.last + KWB_CHECKPOINT_EVENTS;
+	    run->last_event >=
+	    run->saved_chunk.last_event + KWB_CHECKPOINT_EVENTS;
 }
 
 void
