--- a/src/batch/owner.c
+++ b/src/batch/owner.c
@@ -1,59 +1,62 @@
 /*
- * Decisions on who runs a batch. They answer nodes that die at any moment, and
- * fleets of large and very small nodes: a tenth of a core falls behind in
- * reading the events of a batch, and its trainer waits.
+ * Decisions on who owns a batch. Nodes may die at any moment, and a fleet has
+ * large and very small ones: a node with a tenth of a core falls behind in
+ * reading the events of a batch, and the trainer waits.
  */
 #include "kwb_node.h"
 
 bool
-kwb_beat_is_alive(const struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_is_recent(
+    const struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	return beat->revision != 0 && beat->changed &&
-	    now_ns - beat->changed_ns < KWB_OWNER_ALIVE_NS;
+	return heartbeat->revision != 0 && heartbeat->changed &&
+	    now_ns - heartbeat->changed_ns < KWB_OWNER_RECENT_NS;
 }
 
-/* Counted are only reads that succeeded: the silence may be the reader's. */
+/* Only successful reads count: a failed one says nothing of the owner. */
 bool
-kwb_beat_is_silent(const struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_is_expired(
+    const struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	return beat->reads >= KWB_BEAT_READS &&
-	    now_ns - beat->seen_ns >= KWB_OWNER_SILENT_NS;
+	return heartbeat->reads >= KWB_OWNER_EXPIRED_READS &&
+	    now_ns - heartbeat->seen_ns >= KWB_OWNER_EXPIRED_NS;
 }
 
 /*
- * An idle node does not beat and needs time to begin. One that was beating may
- * have died just now, before anyone could know.
+ * An idle node writes no heartbeat and needs time to begin. One whose heartbeat
+ * is recent may have died just now, so its silence goes on counting.
  */
 void
-kwb_beat_given(struct kwb_node_beat *beat, uint64_t now_ns)
+kwb_heartbeat_note_assignment(
+    struct kwb_node_heartbeat *heartbeat, uint64_t now_ns)
 {
-	if (now_ns - beat->changed_ns < KWB_OWNER_SILENT_NS)
+	if (now_ns - heartbeat->changed_ns < KWB_OWNER_EXPIRED_NS)
 		return;
-	beat->seen_ns = now_ns;
-	beat->reads = 0;
+	heartbeat->seen_ns = now_ns;
+	heartbeat->reads = 0;
 }
 
 /*
- * Spread evenly, over a time that grows as the node is smaller, and with the
- * fleet: the first claim comes as soon, and as few nodes claim before they have
- * heard of it.
+ * The delay is spread evenly over a time that is longer for smaller nodes and
+ * larger fleets. So the first claim comes as early in a larger fleet, and as
+ * few nodes claim before they hear of it.
  */
 uint64_t
-kwb_claim_wait_ns(uint32_t processor_milli, uint32_t nodes, uint64_t random)
+kwb_claim_delay_ns(uint32_t processor_milli, uint32_t nodes, uint64_t random)
 {
 	uint64_t spread_ns = KWB_CLAIM_SPREAD_NS * 1000 /
 	    (processor_milli > 0 ? processor_milli : 1);
 
 	if (spread_ns > KWB_CLAIM_SPREAD_MAX_NS)
 		spread_ns = KWB_CLAIM_SPREAD_MAX_NS;
-	if (nodes > KWB_CLAIM_NODES)
-		spread_ns = spread_ns * nodes / KWB_CLAIM_NODES;
+	if (nodes > KWB_CLAIM_SPREAD_NODES)
+		spread_ns = spread_ns * nodes / KWB_CLAIM_SPREAD_NODES;
 	return random % spread_ns;
 }
 
 bool
-kwb_owner_stays(uint32_t owner_milli, uint32_t other_milli)
+kwb_owner_is_kept(uint32_t owner_milli, uint32_t other_milli)
 {
 	return owner_milli == 0 ||
-	    other_milli < owner_milli * KWB_OWNER_PROCESSOR_TIMES;
+	    other_milli < owner_milli * KWB_OWNER_PROCESSOR_RATIO;
 }
