--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -338,13 +338,13 @@
 		}
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
-			kwb_subset(
+			kwb_subset_select(
 			    &vms, "entry-1", "fd-1", 24, chosen, KWB_PEERS_MAX);
 		line_add(&subset, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
-			kwb_home(
+			kwb_home_select(
 			    &vms, "llm", "quotes", 256, chosen, KWB_PEERS_MAX);
 		line_add(&home, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
--- a/cli/ctl.h
+++ b/cli/ctl.h
@@ -39,7 +39,7 @@
 struct ctl_files {
 	unsigned count;
 	struct kwb_buf texts[FILES_MAX];
-	struct kwb_source sources[FILES_MAX];
+	struct kwb_lists_source sources[FILES_MAX];
 };
 
 int ctl_files_load(struct ctl *ctl, struct ctl_files *files,
--- a/cli/files.c
+++ b/cli/files.c
@@ -37,7 +37,7 @@
 	kwb_lists_print(&shown, &text);
 	fputs(kwb_buf_text(&text), stdout);
 	kwb_buf_finish(&text);
-	kwb_lists_unload(lists);
+	kwb_lists_free(lists);
 	return EXIT_DONE;
 }
 
@@ -58,7 +58,7 @@
 		ctl_faults_print(ctl, &faults);
 		code = EXIT_INVALID;
 	}
-	kwb_lists_unload(lists);
+	kwb_lists_free(lists);
 	ctl_files_finish(&files);
 	return code;
 }
@@ -86,8 +86,8 @@
 	}
 	ctl_faults_print(ctl, &faults);
 	kwb_buf_finish(&text);
-	kwb_lists_unload(lists);
-	kwb_lists_unload(now);
+	kwb_lists_free(lists);
+	kwb_lists_free(now);
 	ctl_files_finish(&files);
 	return code;
 }
@@ -116,8 +116,8 @@
 	if (lists != NULL && faults.count == 0)
 		code = ctl_publish(ctl, lists);
 	ctl_faults_print(ctl, &faults);
-	kwb_lists_unload(now);
-	kwb_lists_unload(lists);
+	kwb_lists_free(now);
+	kwb_lists_free(lists);
 	ctl_files_finish(&files);
 	return code;
 }
@@ -151,7 +151,7 @@
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists = NULL, *edited = NULL;
 	struct kwb_buf text;
-	struct kwb_source source = {"edit", NULL};
+	struct kwb_lists_source source = {"edit", NULL};
 	int code, error;
 
 	if (ctl->arguments_count < 3)
@@ -170,8 +170,8 @@
 	}
 	if (code == EXIT_DONE)
 		code = ctl_publish(ctl, edited);
-	kwb_lists_unload(edited);
-	kwb_lists_unload(lists);
+	kwb_lists_free(edited);
+	kwb_lists_free(lists);
 	kwb_buf_finish(&text);
 	return code;
 }
@@ -194,17 +194,18 @@
 	     revision--, count--) {
 		old = older = NULL;
 		text.used_bytes = 0;
-		if (kwb_lists_fetch_old(&ctl->platform, revision, &old) == 0 &&
-		    kwb_lists_fetch_old(&ctl->platform, revision - 1, &older) ==
-			0)
+		if (kwb_lists_fetch_revision(&ctl->platform, revision, &old) ==
+			0 &&
+		    kwb_lists_fetch_revision(
+			&ctl->platform, revision - 1, &older) == 0)
 			kwb_lists_diff(older, old, &text);
 		printf("revision %" PRIu64 "\n%s", revision,
 		    old ? kwb_buf_text(&text) : "not in the object store\n");
-		kwb_lists_unload(old);
-		kwb_lists_unload(older);
+		kwb_lists_free(old);
+		kwb_lists_free(older);
 	}
 	kwb_buf_finish(&text);
-	kwb_lists_unload(now);
+	kwb_lists_free(now);
 	return EXIT_DONE;
 }
 
@@ -220,7 +221,8 @@
 	*lists = NULL;
 	for (i = 0; i < ctl->arguments_count && i < FILES_MAX; i++) {
 		struct kwb_buf *text = &files->texts[files->count];
-		struct kwb_source *source = &files->sources[files->count++];
+		struct kwb_lists_source *source =
+		    &files->sources[files->count++];
 
 		kwb_buf_init(text);
 		source->file = ctl->arguments[i];
@@ -285,7 +287,7 @@
 		from->allowances = NULL;
 		from->allowances_count = 0;
 	}
-	kwb_lists_unload(from);
+	kwb_lists_free(from);
 	return error;
 }
 
--- a/daemons/kwb-agent.c
+++ b/daemons/kwb-agent.c
@@ -23,7 +23,7 @@
 		daemon_signals_block();
 		kwb_log_init(settings->vm, options.log_level);
 		kwb_http_init();
-		kwb_current_init();
+		kwb_current_lists_init();
 		code = kwb_agent_start(&agent, settings);
 		if (code != 0) {
 			kwb_log(KWB_LOG_ERROR, "agent",
@@ -32,7 +32,7 @@
 		}
 		daemon_wait();
 		kwb_agent_stop(agent);
-		kwb_current_finish();
+		kwb_current_lists_finish();
 		kwb_http_finish();
 	}
 	kwb_agent_settings_unload(settings);
--- a/daemons/kwb-entry.c
+++ b/daemons/kwb-entry.c
@@ -23,7 +23,7 @@
 		daemon_signals_block();
 		kwb_log_init(settings->vm, options.log_level);
 		kwb_http_init();
-		kwb_current_init();
+		kwb_current_lists_init();
 		code = kwb_entry_start(&entry, settings);
 		if (code != 0) {
 			kwb_log(KWB_LOG_ERROR, "entry",
@@ -32,7 +32,7 @@
 		}
 		daemon_wait();
 		kwb_entry_stop(entry);
-		kwb_current_finish();
+		kwb_current_lists_finish();
 		kwb_http_finish();
 	}
 	kwb_entry_settings_unload(settings);
--- a/examples/lease.c
+++ b/examples/lease.c
@@ -19,7 +19,7 @@
 	kwb_http_init();
 	kwb_platform_init(&platform, argv[1]);
 	kwb_lease_init(&lease, argv[2], "example", kwb_clock_wall_ms());
-	error = kwb_lease_try(&lease, &platform);
+	error = kwb_lease_acquire(&lease, &platform);
 	if (error == 0) {
 		printf("held with token %llu\n",
 		    (unsigned long long)lease.fencing_token);
--- a/examples/lists.c
+++ b/examples/lists.c
@@ -13,7 +13,7 @@
 	const struct kwb_allowance *allowance;
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists = NULL;
-	struct kwb_source source;
+	struct kwb_lists_source source;
 	struct kwb_buf text;
 	unsigned i;
 
@@ -28,11 +28,11 @@
 		kwb_lists_check(lists, &source, 1, &faults);
 	for (i = 0; i < faults.count; i++)
 		fprintf(stderr, "%s\n", faults.text[i]);
-	allowance = kwb_lists_allowance(lists, argv[2]);
+	allowance = kwb_lists_find_allowance(lists, argv[2]);
 	if (allowance != NULL)
 		printf("%s may run %u requests at once\n", allowance->plan,
 		    allowance->concurrent);
-	kwb_lists_unload(lists);
+	kwb_lists_free(lists);
 	kwb_buf_finish(&text);
 	return faults.count > 0 || allowance == NULL;
 }
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -270,25 +270,27 @@
 };
 
 /* Text that lists came from, for file and line in faults. */
-struct kwb_source {
+struct kwb_lists_source {
 	const char *file;
 	const char *text;
 };
 
-int kwb_lists_parse(struct kwb_lists **lists, const struct kwb_source *source,
+int kwb_lists_parse(struct kwb_lists **lists,
+    const struct kwb_lists_source *source,
     struct kwb_faults
 	*faults); /* with faults, lists may be there for more checks */
 int kwb_lists_print(
     const struct kwb_lists *lists, struct kwb_buf *out); /* as YAML */
-void kwb_lists_unload(struct kwb_lists *lists);		 /* frees them */
+void kwb_lists_free(struct kwb_lists *lists);		 /* frees them */
 int kwb_lists_check(const struct kwb_lists *lists,
-    const struct kwb_source *sources, unsigned sources_count,
+    const struct kwb_lists_source *sources, unsigned sources_count,
     struct kwb_faults *faults); /* every fault, with file and line */
-const struct kwb_plan *kwb_lists_plan(const struct kwb_lists *lists,
+const struct kwb_plan *kwb_lists_find_plan(const struct kwb_lists *lists,
     const char *name); /* by name; NULL for none */
-const struct kwb_allowance *kwb_lists_allowance(const struct kwb_lists *lists,
+const struct kwb_allowance *kwb_lists_find_allowance(
+    const struct kwb_lists *lists,
     const char *plan); /* by plan; NULL for none */
-const struct kwb_rule *kwb_plan_rule(const struct kwb_plan *plan,
+const struct kwb_rule *kwb_plan_match_rule(const struct kwb_plan *plan,
     const char *method,
     const char *path); /* first that matches; NULL for none */
 int kwb_lists_diff(const struct kwb_lists *from, const struct kwb_lists *to,
@@ -299,23 +301,24 @@
 
 int kwb_lists_fetch(const struct kwb_platform *platform,
     struct kwb_lists **lists); /* from the table; empty before the first */
-int kwb_lists_fetch_old(const struct kwb_platform *platform, uint64_t revision,
-    struct kwb_lists **lists); /* from the history */
+int kwb_lists_fetch_revision(const struct kwb_platform *platform,
+    uint64_t revision, struct kwb_lists **lists); /* from the history */
 int kwb_lists_apply(const struct kwb_platform *platform,
     const struct kwb_lists *ours, uint64_t *revision, struct kwb_buf *conflicts,
     struct kwb_faults *faults); /* writes an edit, merged with later ones */
 
 /* The newest lists this process knows; the revision only rises (RCU). */
-int kwb_current_init(void);	      /* before any thread reads */
-void kwb_current_finish(void);	      /* after the last reader */
-void kwb_current_thread_init(void);   /* each thread that reads, once */
-void kwb_current_thread_finish(void); /* before such a thread ends */
-int kwb_current_offer(const char *text, size_t length_bytes,
-    uint64_t revision);		     /* 1 when taken, 0 when not newer */
-uint64_t kwb_current_revision(void); /* 0 before the first */
-const struct kwb_lists *kwb_current_hold(void); /* NULL before the first */
-void kwb_current_drop(void);			/* ends a hold */
-int kwb_current_text(struct kwb_buf *out,
+int kwb_current_lists_init(void);	      /* before any thread reads */
+void kwb_current_lists_finish(void);	      /* after the last reader */
+void kwb_current_lists_register_thread(void); /* each thread that reads, once */
+void kwb_current_lists_unregister_thread(void); /* before such a thread ends */
+int kwb_current_lists_update(const char *text, size_t length_bytes,
+    uint64_t revision);			   /* 1 when taken, 0 when not newer */
+uint64_t kwb_current_lists_revision(void); /* 0 before the first */
+const struct kwb_lists *kwb_current_lists_read_lock(
+    void);				  /* NULL before the first */
+void kwb_current_lists_read_unlock(void); /* ends a hold */
+int kwb_current_lists_text(struct kwb_buf *out,
     uint64_t *revision); /* the document as it was offered */
 
 /* ---- HTTP client ------------------------------------------------------ */
@@ -459,12 +462,12 @@
 
 uint64_t kwb_hash(
     const char *text, uint64_t seed); /* of text, for rendezvous */
-unsigned kwb_subset(const struct kwb_vms *vms, const char *self,
+unsigned kwb_subset_select(const struct kwb_vms *vms, const char *self,
     const char *failure_domain, unsigned wanted, uint32_t *chosen,
     unsigned chosen_max); /* indices into vms of the agents to connect to */
 
-unsigned kwb_home(const struct kwb_vms *vms, const char *pool, const char *plan,
-    unsigned wanted, uint32_t *chosen,
+unsigned kwb_home_select(const struct kwb_vms *vms, const char *pool,
+    const char *plan, unsigned wanted, uint32_t *chosen,
     unsigned chosen_max); /* the agents that hold a plan's allowance */
 
 struct kwb_lease {
@@ -479,11 +482,11 @@
 
 void kwb_lease_init(struct kwb_lease *lease, const char *name,
     const char *holder, uint64_t incarnation); /* names lease and holder */
-int kwb_lease_try(struct kwb_lease *lease,
+int kwb_lease_acquire(struct kwb_lease *lease,
     const struct kwb_platform *platform); /* acquire or renew */
 void kwb_lease_release(struct kwb_lease *lease,
     const struct kwb_platform *platform); /* gives it up */
-int kwb_lease_token(const struct kwb_platform *platform, const char *name,
+int kwb_lease_read_token(const struct kwb_platform *platform, const char *name,
     uint64_t *fencing_token); /* highest token ever given out */
 
 /* ---- Limit: shares of an allowance, retry budget ----------------------- */
@@ -575,15 +578,16 @@
 	uint64_t incarnation;
 };
 
-void kwb_key_call(char *key, size_t room_bytes, const struct kwb_origin *origin,
-    const char *plan, uint64_t number); /* unique among all entries */
-void kwb_key_start(char *key, size_t room_bytes,
+void kwb_call_key_print(char *key, size_t room_bytes,
+    const struct kwb_origin *origin, const char *plan,
+    uint64_t number); /* unique among all entries */
+void kwb_generation_key_print(char *key, size_t room_bytes,
     const struct kwb_origin *origin, const char *name,
     unsigned starts); /* of one start of a generation */
 int kwb_ticket_print(
     const struct kwb_pin *pin, struct kwb_buf *out);	     /* a pin as text */
 int kwb_ticket_parse(struct kwb_pin *pin, const char *text); /* text as a pin */
-int kwb_claim(const struct kwb_platform *platform, const char *plan,
+int kwb_pin_claim(const struct kwb_platform *platform, const char *plan,
     struct kwb_pin *pin); /* insert if absent, else read the first pin */
 
 struct kwb_tokens {
@@ -597,7 +601,7 @@
 void kwb_tokens_finish(struct kwb_tokens *tokens); /* frees them */
 int kwb_tokens_add(struct kwb_tokens *tokens, const char *text,
     uint64_t version); /* appends one */
-uint64_t kwb_tokens_oldest(
+uint64_t kwb_tokens_oldest_version(
     const struct kwb_tokens *tokens); /* oldest version; UINT64_MAX for none */
 
 /* ---- Rollout: order of a step's work, hedging -------------------------- */
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -138,7 +138,7 @@
 	hello.incarnation = agent->incarnation;
 	hello.failure_domain = (char *)agent->settings->failure_domain;
 	hello.pool = (char *)agent->settings->pool;
-	hello.lists_revision = kwb_current_revision();
+	hello.lists_revision = kwb_current_lists_revision();
 	hello.status = &message.status;
 	kwb_link_send(&agent->loop, link, &frame);
 }
@@ -202,7 +202,7 @@
 	KWB_FRAME(frame, HEARTBEAT, heartbeat, heartbeat);
 
 	(void)tag;
-	heartbeat.lists_revision = kwb_current_revision();
+	heartbeat.lists_revision = kwb_current_lists_revision();
 	/* Mostly a sign of life; the status now and then, and on changes. */
 	if (kwb_clock_now_ns() < atomic_load(&agent->status_ns) ||
 	    atomic_load(&agent->load_changed) ||
@@ -216,7 +216,7 @@
 static void
 on_lists(const Kwb__Wire__Lists *lists)
 {
-	kwb_current_offer((const char *)lists->document.data,
+	kwb_current_lists_update((const char *)lists->document.data,
 	    lists->document.len, lists->revision);
 }
 
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -47,7 +47,7 @@
 	struct kwb_buf body;
 	size_t kept_bytes;
 	unsigned attached;
-	struct attachment attachments[KWB_ATTACH_MAX];
+	struct attachment attachments[KWB_JOB_ATTACHMENTS_MAX];
 };
 
 TAILQ_HEAD(job_list, job);
@@ -165,9 +165,9 @@
     struct journal *journal, struct journal_shard *shard, const char *key);
 void journal_remove(
     struct journal *journal, struct journal_shard *shard, struct job *job);
-bool journal_full(const struct journal *journal);
-void journal_keep(struct journal *journal, struct job *job);
-int journal_fence(
+bool journal_is_full(const struct journal *journal);
+void journal_retain(struct journal *journal, struct job *job);
+int journal_raise_fence(
     struct journal *journal, const char *plan, uint64_t step, uint32_t attempt);
 bool job_attach(
     struct job *job, uint64_t link, uint64_t request, uint32_t sent_tokens);
--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -46,7 +46,7 @@
 	}
 	shard = journal_lock(&agent->journal, run->key);
 	job = journal_find(shard, run->key);
-	if (run->lists_revision < kwb_current_revision()) {
+	if (run->lists_revision < kwb_current_lists_revision()) {
 		kwb_metric_add(KWB_METRIC_STALE_LISTS, 1);
 		send_lists(agent, link);
 		refuse(agent, link, run->request, KWB_OUTCOME_NOT_RUN,
@@ -84,7 +84,7 @@
 		job = journal_add(&agent->journal, shard, query->key);
 		if (job != NULL) {
 			job->state = JOB_BARRED;
-			journal_keep(&agent->journal, job);
+			journal_retain(&agent->journal, job);
 		}
 	}
 	if (job == NULL)
@@ -131,7 +131,7 @@
 	Kwb__Wire__Held **pointers;
 	unsigned i, count = 0, room;
 
-	if (journal_fence(
+	if (journal_raise_fence(
 		&agent->journal, find->plan, find->step, find->attempt) != 0)
 		kwb_metric_add(KWB_METRIC_FENCED, 1);
 	room = atomic_load(&agent->journal.count) + 1;
@@ -180,8 +180,8 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t leaving_ns = atomic_load(&agent->leaving_ns);
 	bool hand_over =
-	    leaving_ns != 0 && now_ns >= leaving_ns + KWB_ORPHAN_NS / 4;
-	bool full = journal_full(&agent->journal);
+	    leaving_ns != 0 && now_ns >= leaving_ns + KWB_JOB_ORPHAN_NS / 4;
+	bool full = journal_is_full(&agent->journal);
 	struct job *job, *next;
 	unsigned i;
 
@@ -228,18 +228,18 @@
 {
 	if (agent_leaving(agent))
 		return KWB_ERR_CALL_LEAVING;
-	if (run->lists_revision > kwb_current_revision())
+	if (run->lists_revision > kwb_current_lists_revision())
 		return KWB_ERR_LISTS_NONE;
 	if (run->minted_ms != 0 &&
-	    run->minted_ms + KWB_TICKET_MS < kwb_clock_wall_ms())
+	    run->minted_ms + KWB_TICKET_TTL_MS < kwb_clock_wall_ms())
 		return KWB_ERR_CALL_FORGOTTEN;
 	if (run->slot != NULL &&
-	    journal_fence(&agent->journal, run->plan, run->slot->step,
+	    journal_raise_fence(&agent->journal, run->plan, run->slot->step,
 		run->slot->attempt) != 0) {
 		kwb_metric_add(KWB_METRIC_FENCED, 1);
 		return KWB_ERR_CALL_FENCED;
 	}
-	if (journal_full(&agent->journal))
+	if (journal_is_full(&agent->journal))
 		return KWB_ERR_CALL_BUSY;
 	return run_admit(agent, run);
 }
@@ -355,7 +355,7 @@
 	struct kwb_buf text;
 
 	kwb_buf_init(&text);
-	if (kwb_current_text(&text, &lists.revision) == 0) {
+	if (kwb_current_lists_text(&text, &lists.revision) == 0) {
 		lists.document.data = (uint8_t *)text.data;
 		lists.document.len = text.used_bytes;
 		kwb_link_send(&agent->loop, link, &frame);
--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -156,7 +156,7 @@
 	struct kwb_agent *agent = argument;
 	struct job *job;
 
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	while ((job = take_next(agent)) != NULL) {
 		if (begin(agent, job)) {
 			if (agent->settings->upstream_kind ==
@@ -167,7 +167,7 @@
 		}
 		finish(agent, job);
 	}
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
@@ -280,7 +280,7 @@
 		error = KWB_ERR_CALL_BUSY;
 	else if (kwb_clock_now_ns() >= job->deadline_ns)
 		error = KWB_ERR_CALL_DEADLINE;
-	else if (job->frame->run->lists_revision < kwb_current_revision())
+	else if (job->frame->run->lists_revision < kwb_current_lists_revision())
 		error = KWB_ERR_CALL_STALE_LISTS;
 	job->outcome = KWB_OUTCOME_NOT_RUN;
 	job->error = error;
@@ -320,7 +320,7 @@
 	else if (job->outcome == KWB_OUTCOME_NOT_RUN)
 		journal_remove(&agent->journal, shard, job);
 	else
-		journal_keep(&agent->journal, job);
+		journal_retain(&agent->journal, job);
 	journal_unlock(shard);
 	if (broken)
 		await_ended(agent, key);
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -10,31 +10,31 @@
 
 #include "../entry/entry.h"
 
-#define VERDICT_NS (500 * KWB_MS_NS)
-#define RETRY_PAUSE_NS (2 * KWB_MS_NS)
+#define OUTCOME_WAIT_NS (500 * KWB_MS_NS)
+#define RETRY_DELAY_NS (2 * KWB_MS_NS)
 
-/* One exchange with one agent. */
-struct exchange {
+/* One dispatch with one agent. */
+struct dispatch {
 	struct kwb_entry *entry;
 	struct call *call;
 	struct call_answer *answer;
 	struct inbox inbox;
 	struct target target;
 	uint64_t request;
-	uint64_t give_up_ns;
+	uint64_t outcome_deadline_ns;
 };
 
-enum step { STEP_FINAL, STEP_AGAIN };
+enum next_action { ACTION_STOP, ACTION_RETRY };
 
-static enum step call_once(struct exchange *exchange);
-static int call_target(struct exchange *exchange);
-static int run_send(struct exchange *exchange);
-static int query_send(struct exchange *exchange);
-static void bar(struct exchange *exchange);
-static void await_verdict(struct exchange *exchange);
-static void verdict(struct exchange *exchange, const Kwb__Wire__Done *done);
-static void settle(struct exchange *exchange);
-static bool may_repeat(const struct exchange *exchange);
+static enum next_action call_attempt(struct dispatch *dispatch);
+static int call_reserve_target(struct dispatch *dispatch);
+static int run_send(struct dispatch *dispatch);
+static int query_send(struct dispatch *dispatch);
+static void bar_key(struct dispatch *dispatch);
+static void wait_for_outcome(struct dispatch *dispatch);
+static void apply_done(struct dispatch *dispatch, const Kwb__Wire__Done *done);
+static void query_after_reconnect(struct dispatch *dispatch);
+static bool can_retry(const struct dispatch *dispatch);
 static void answer_set(
     struct call_answer *answer, enum kwb_outcome outcome, int error);
 
@@ -42,17 +42,17 @@
 call_run(struct kwb_entry *entry, struct call *call, struct call_answer *answer)
 {
 	struct plan_gate *gate = entry_gate(entry, call->plan);
-	struct exchange exchange = {
+	struct dispatch dispatch = {
 	    .entry = entry,
 	    .call = call,
 	    .answer = answer,
-	    .give_up_ns = call->deadline_ns + VERDICT_NS,
+	    .outcome_deadline_ns = call->deadline_ns + OUTCOME_WAIT_NS,
 	};
 	bool sent_before = false, full;
 
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
-	inbox_init(&exchange.inbox);
+	inbox_init(&dispatch.inbox);
 	kwb_budget_try(&gate->budget);
 	do {
 		/* Where all was full nothing was tried, so nothing is spent. */
@@ -61,19 +61,19 @@
 		if (sent_before && !full && !kwb_budget_retry(&gate->budget))
 			break;
 		if (sent_before)
-			kwb_clock_sleep_ns(RETRY_PAUSE_NS);
+			kwb_clock_sleep_ns(RETRY_DELAY_NS);
 		sent_before = true;
-	} while (call_once(&exchange) == STEP_AGAIN &&
+	} while (call_attempt(&dispatch) == ACTION_RETRY &&
 	    kwb_clock_now_ns() < call->deadline_ns);
 	if (call->pinned && answer->outcome == KWB_OUTCOME_NOT_RUN &&
 	    answer->error != KWB_ERR_CALL_BARRED)
-		bar(&exchange);
-	inbox_finish(&exchange.inbox);
+		bar_key(&dispatch);
+	inbox_finish(&dispatch.inbox);
 }
 
 /* Names a call: a key pinned to an agent that can take it now. */
 int
-call_mint(struct kwb_entry *entry, const char *plan, const char *pool,
+call_pin_create(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin)
 {
 	struct kwb_route route = {
@@ -88,34 +88,34 @@
 	pin->incarnation = target.incarnation;
 	pin->minted_ms = kwb_clock_wall_ms();
 	if (pin->key[0] == '\0')
-		kwb_key_call(pin->key, sizeof(pin->key), &entry->origin, plan,
-		    atomic_fetch_add(&entry->registry.next_id, 1));
+		kwb_call_key_print(pin->key, sizeof(pin->key), &entry->origin,
+		    plan, atomic_fetch_add(&entry->registry.next_id, 1));
 	peers_release(entry, &target, 0);
 	return 0;
 }
 
-static enum step
-call_once(struct exchange *exchange)
+static enum next_action
+call_attempt(struct dispatch *dispatch)
 {
-	struct kwb_entry *entry = exchange->entry;
-	struct call_answer *answer = exchange->answer;
-	int error = call_target(exchange);
+	struct kwb_entry *entry = dispatch->entry;
+	struct call_answer *answer = dispatch->answer;
+	int error = call_reserve_target(dispatch);
 
 	if (error != 0) {
 		answer_set(answer, KWB_OUTCOME_NOT_RUN, error);
-		return STEP_AGAIN;
+		return ACTION_RETRY;
 	}
-	kwb_text_copy(answer->vm, sizeof(answer->vm), exchange->target.vm);
-	error = run_send(exchange);
+	kwb_text_copy(answer->vm, sizeof(answer->vm), dispatch->target.vm);
+	error = run_send(dispatch);
 	if (error == 0)
-		await_verdict(exchange);
+		wait_for_outcome(dispatch);
 	else
 		answer_set(answer, KWB_OUTCOME_NOT_RUN, error);
-	registry_close(&entry->registry, exchange->request);
-	peers_release(entry, &exchange->target, answer->error);
+	registry_close_request(&entry->registry, dispatch->request);
+	peers_release(entry, &dispatch->target, answer->error);
 	if (answer->outcome == KWB_OUTCOME_RAN)
-		return STEP_FINAL;
-	return may_repeat(exchange) ? STEP_AGAIN : STEP_FINAL;
+		return ACTION_STOP;
+	return can_retry(dispatch) ? ACTION_RETRY : ACTION_STOP;
 }
 
 /*
@@ -123,38 +123,38 @@
  * a new key. A pinned call whose agent restarted can't be known any more.
  */
 static int
-call_target(struct exchange *exchange)
+call_reserve_target(struct dispatch *dispatch)
 {
-	struct call *call = exchange->call;
+	struct call *call = dispatch->call;
 	int error;
 
 	if (!call->pinned && call->pin.vm[0] == '\0') {
-		error = call_mint(
-		    exchange->entry, call->plan, call->pool, &call->pin);
+		error = call_pin_create(
+		    dispatch->entry, call->plan, call->pool, &call->pin);
 		if (error != 0)
 			return error;
 	}
-	error = peers_target(
-	    exchange->entry, call->pin.vm, call->plan, NULL, &exchange->target);
+	error = peers_reserve(
+	    dispatch->entry, call->pin.vm, call->plan, NULL, &dispatch->target);
 	if (error != 0 && !call->pinned)
 		memset(&call->pin, 0, sizeof(call->pin));
 	return error;
 }
 
 static int
-run_send(struct exchange *exchange)
+run_send(struct dispatch *dispatch)
 {
 	Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
 	KWB_FRAME(frame, RUN, run, run);
-	struct call *call = exchange->call;
-	struct target *target = &exchange->target;
+	struct call *call = dispatch->call;
+	struct target *target = &dispatch->target;
 
-	exchange->request = registry_open(
-	    &exchange->entry->registry, &exchange->inbox, target->link, NULL);
-	run.request = exchange->request;
+	dispatch->request = registry_open_request(
+	    &dispatch->entry->registry, &dispatch->inbox, target->link, NULL);
+	run.request = dispatch->request;
 	run.key = call->pin.key;
 	run.plan = (char *)call->plan;
-	run.lists_revision = kwb_current_revision();
+	run.lists_revision = kwb_current_lists_revision();
 	run.agent_incarnation = call->pin.incarnation;
 	run.minted_ms = call->pin.minted_ms;
 	run.budget_ms = (uint32_t)kwb_clock_left_ms(call->deadline_ns);
@@ -166,44 +166,44 @@
 	run.content_type = (char *)call->content_type;
 	run.body.data = (uint8_t *)call->body;
 	run.body.len = call->body_bytes;
-	return kwb_link_send(&exchange->entry->loop, target->link, &frame);
+	return kwb_link_send(&dispatch->entry->loop, target->link, &frame);
 }
 
 static void
-await_verdict(struct exchange *exchange)
+wait_for_outcome(struct dispatch *dispatch)
 {
 	struct event *event;
 
 	answer_set(
-	    exchange->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_DEADLINE);
-	while ((event = inbox_wait(&exchange->inbox, exchange->give_up_ns)) !=
-	    NULL) {
-		bool ours = event->request == exchange->request;
+	    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_DEADLINE);
+	while ((event = inbox_wait(
+		    &dispatch->inbox, dispatch->outcome_deadline_ns)) != NULL) {
+		bool ours = event->request == dispatch->request;
 		bool lost = event->kind == EVENT_LINK_LOST;
 
 		if (ours && !lost &&
 		    event->frame->body_case == KWB__WIRE__FRAME__BODY_DONE) {
-			verdict(exchange, event->frame->done);
-			event_free(event);
+			apply_done(dispatch, event->frame->done);
+			inbox_event_free(event);
 			return;
 		}
-		event_free(event);
+		inbox_event_free(event);
 		if (!ours || !lost)
 			continue;
 		answer_set(
-		    exchange->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_WIRE_CLOSED);
-		if (exchange->call->idempotent)
+		    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_WIRE_CLOSED);
+		if (dispatch->call->idempotent)
 			return;
-		settle(exchange);
-		if (exchange->answer->error != 0)
+		query_after_reconnect(dispatch);
+		if (dispatch->answer->error != 0)
 			return;
 	}
 }
 
 static void
-verdict(struct exchange *exchange, const Kwb__Wire__Done *done)
+apply_done(struct dispatch *dispatch, const Kwb__Wire__Done *done)
 {
-	struct call_answer *answer = exchange->answer;
+	struct call_answer *answer = dispatch->answer;
 
 	answer_set(answer, done->outcome, done->error);
 	if (done->outcome == KWB_OUTCOME_RAN) {
@@ -213,40 +213,40 @@
 		kwb_buf_add(&answer->body, done->body.data, done->body.len);
 	}
 	/* A later process on that VM can't say what an earlier one did. */
-	if (done->error == KWB_ERR_CALL_INCARNATION && exchange->call->pinned)
+	if (done->error == KWB_ERR_CALL_INCARNATION && dispatch->call->pinned)
 		answer->outcome = KWB_OUTCOME_UNKNOWN;
 }
 
 /*
  * The link is gone: waits for a new one to the same incarnation and asks
- * there. On success the answer's error is 0 and a verdict is to be awaited.
+ * there. On success the answer's error is 0 and a apply_done is to be awaited.
  */
 static void
-settle(struct exchange *exchange)
+query_after_reconnect(struct dispatch *dispatch)
 {
-	struct kwb_entry *entry = exchange->entry;
-	struct kwb_pin *pin = &exchange->call->pin;
-	struct call_answer *answer = exchange->answer;
+	struct kwb_entry *entry = dispatch->entry;
+	struct kwb_pin *pin = &dispatch->call->pin;
+	struct call_answer *answer = dispatch->answer;
 
-	registry_close(&entry->registry, exchange->request);
-	peers_release(entry, &exchange->target, KWB_ERR_WIRE_CLOSED);
-	while (kwb_clock_now_ns() < exchange->give_up_ns) {
-		if (peers_target(entry, pin->vm, exchange->call->plan, NULL,
-			&exchange->target) != 0) {
+	registry_close_request(&entry->registry, dispatch->request);
+	peers_release(entry, &dispatch->target, KWB_ERR_WIRE_CLOSED);
+	while (kwb_clock_now_ns() < dispatch->outcome_deadline_ns) {
+		if (peers_reserve(entry, pin->vm, dispatch->call->plan, NULL,
+			&dispatch->target) != 0) {
 			kwb_clock_sleep_ns(KWB_QUEUE_POLL_NS);
 			continue;
 		}
-		if (exchange->target.incarnation != pin->incarnation) {
+		if (dispatch->target.incarnation != pin->incarnation) {
 			answer_set(answer, KWB_OUTCOME_UNKNOWN,
 			    KWB_ERR_CALL_INCARNATION);
 			return;
 		}
-		if (query_send(exchange) == 0) {
+		if (query_send(dispatch) == 0) {
 			answer_set(answer, KWB_OUTCOME_UNKNOWN, 0);
 			return;
 		}
-		registry_close(&entry->registry, exchange->request);
-		peers_release(entry, &exchange->target, KWB_ERR_WIRE_CLOSED);
+		registry_close_request(&entry->registry, dispatch->request);
+		peers_release(entry, &dispatch->target, KWB_ERR_WIRE_CLOSED);
 	}
 }
 
@@ -256,38 +256,39 @@
  * it meanwhile.
  */
 static void
-bar(struct exchange *exchange)
+bar_key(struct dispatch *dispatch)
 {
-	exchange->give_up_ns = kwb_clock_now_ns() + VERDICT_NS;
-	exchange->request = 0;
-	exchange->target.peer = -1;
-	settle(exchange);
-	if (exchange->answer->outcome == KWB_OUTCOME_NOT_RUN)
+	dispatch->outcome_deadline_ns = kwb_clock_now_ns() + OUTCOME_WAIT_NS;
+	dispatch->request = 0;
+	dispatch->target.peer = -1;
+	query_after_reconnect(dispatch);
+	if (dispatch->answer->outcome == KWB_OUTCOME_NOT_RUN)
 		answer_set(
-		    exchange->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_ROUTE_NONE);
-	if (exchange->answer->error == 0) {
-		await_verdict(exchange);
-		registry_close(&exchange->entry->registry, exchange->request);
-		peers_release(exchange->entry, &exchange->target,
-		    exchange->answer->error);
+		    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_ROUTE_NONE);
+	if (dispatch->answer->error == 0) {
+		wait_for_outcome(dispatch);
+		registry_close_request(
+		    &dispatch->entry->registry, dispatch->request);
+		peers_release(dispatch->entry, &dispatch->target,
+		    dispatch->answer->error);
 	}
 }
 
 static int
-query_send(struct exchange *exchange)
+query_send(struct dispatch *dispatch)
 {
 	Kwb__Wire__Query query = KWB__WIRE__QUERY__INIT;
 	KWB_FRAME(frame, QUERY, query, query);
 
-	exchange->request = registry_open(&exchange->entry->registry,
-	    &exchange->inbox, exchange->target.link, NULL);
-	query.request = exchange->request;
-	query.key = exchange->call->pin.key;
-	query.agent_incarnation = exchange->call->pin.incarnation;
+	dispatch->request = registry_open_request(&dispatch->entry->registry,
+	    &dispatch->inbox, dispatch->target.link, NULL);
+	query.request = dispatch->request;
+	query.key = dispatch->call->pin.key;
+	query.agent_incarnation = dispatch->call->pin.incarnation;
 	kwb_log(KWB_LOG_INFO, "call", "event=query key=%s vm=%s", query.key,
-	    exchange->target.vm);
+	    dispatch->target.vm);
 	return kwb_link_send(
-	    &exchange->entry->loop, exchange->target.link, &frame);
+	    &dispatch->entry->loop, dispatch->target.link, &frame);
 }
 
 /*
@@ -295,10 +296,10 @@
  * the call; an idempotent one may also be repeated when that is not known.
  */
 static bool
-may_repeat(const struct exchange *exchange)
+can_retry(const struct dispatch *dispatch)
 {
-	const struct call_answer *answer = exchange->answer;
-	struct call *call = exchange->call;
+	const struct call_answer *answer = dispatch->answer;
+	struct call *call = dispatch->call;
 
 	if (call->pinned)
 		return answer->outcome == KWB_OUTCOME_NOT_RUN &&
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -10,9 +10,9 @@
 
 static int generation_send(
     struct kwb_entry *entry, struct generation *generation);
-static void generation_progress(
+static void generation_add_tokens(
     struct generation *generation, const Kwb__Wire__Progress *progress);
-static void generation_break(
+static void generation_interrupt(
     struct kwb_entry *entry, struct generation *generation, int error);
 
 void
@@ -47,8 +47,8 @@
 	int error;
 
 	/* Never the key of an earlier start: that copy went its own way. */
-	kwb_key_start(generation->key, sizeof(generation->key), &entry->origin,
-	    generation->name, generation->starts);
+	kwb_generation_key_print(generation->key, sizeof(generation->key),
+	    &entry->origin, generation->name, generation->starts);
 	error = peers_pick(entry, &route, generation->plan, generation->model,
 	    generation->key, &generation->target);
 	if (error == KWB_ERR_ROUTE_NONE && route.exclude >= 0) {
@@ -64,8 +64,8 @@
 generation_attach(struct kwb_entry *entry, struct generation *generation,
     const char *vm, const char *key)
 {
-	int error = peers_target(entry, vm, generation->plan, generation->model,
-	    &generation->target);
+	int error = peers_reserve(entry, vm, generation->plan,
+	    generation->model, &generation->target);
 
 	if (error != 0)
 		return error;
@@ -76,7 +76,7 @@
 }
 
 void
-generation_event(struct kwb_entry *entry, struct generation *generation,
+generation_handle_event(struct kwb_entry *entry, struct generation *generation,
     const struct event *event)
 {
 	const Kwb__Wire__Done *done;
@@ -85,21 +85,21 @@
 	    event->request != generation->request)
 		return;
 	if (event->kind == EVENT_LINK_LOST) {
-		generation_break(entry, generation, KWB_ERR_WIRE_CLOSED);
+		generation_interrupt(entry, generation, KWB_ERR_WIRE_CLOSED);
 		return;
 	}
 	if (event->frame->body_case == KWB__WIRE__FRAME__BODY_PROGRESS) {
-		generation_progress(generation, event->frame->progress);
+		generation_add_tokens(generation, event->frame->progress);
 		return;
 	}
 	if (event->frame->body_case != KWB__WIRE__FRAME__BODY_DONE)
 		return;
 	done = event->frame->done;
 	if (done->outcome != KWB_OUTCOME_RAN) {
-		generation_break(entry, generation, done->error);
+		generation_interrupt(entry, generation, done->error);
 		return;
 	}
-	registry_close(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request);
 	peers_release(entry, &generation->target, 0);
 	generation->state = GENERATION_DONE;
 	generation->error = 0;
@@ -118,7 +118,7 @@
 	cancel.request = generation->request;
 	cancel.keep = keep;
 	kwb_link_send(&entry->loop, generation->target.link, &frame);
-	generation_break(entry, generation, KWB_ERR_CALL_CANCELLED);
+	generation_interrupt(entry, generation, KWB_ERR_CALL_CANCELLED);
 }
 
 static int
@@ -130,12 +130,12 @@
 	struct target *target = &generation->target;
 	int error;
 
-	generation->request = registry_open(
+	generation->request = registry_open_request(
 	    &entry->registry, generation->inbox, target->link, generation);
 	run.request = generation->request;
 	run.key = generation->key;
 	run.plan = (char *)generation->plan;
-	run.lists_revision = kwb_current_revision();
+	run.lists_revision = kwb_current_lists_revision();
 	run.agent_incarnation = target->incarnation;
 	run.budget_ms = (uint32_t)kwb_clock_left_ms(generation->deadline_ns);
 	run.slack_ms =
@@ -154,7 +154,7 @@
 	run.slot = generation->slot;
 	error = kwb_link_send(&entry->loop, target->link, &frame);
 	if (error != 0) {
-		registry_close(&entry->registry, generation->request);
+		registry_close_request(&entry->registry, generation->request);
 		peers_release(entry, target, error);
 		return error;
 	}
@@ -168,7 +168,7 @@
 
 /* Tokens not yet known; an agent may replay from the start. */
 static void
-generation_progress(
+generation_add_tokens(
     struct generation *generation, const Kwb__Wire__Progress *progress)
 {
 	size_t i, span = 0;
@@ -191,7 +191,7 @@
 }
 
 static void
-generation_break(
+generation_interrupt(
     struct kwb_entry *entry, struct generation *generation, int error)
 {
 	kwb_log(KWB_LOG_INFO, "call",
@@ -201,6 +201,6 @@
 	generation->avoid = generation->target.peer;
 	generation->error = error;
 	generation->state = GENERATION_PENDING;
-	registry_close(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request);
 	peers_release(entry, &generation->target, error);
 }
--- a/src/call/inbox.c
+++ b/src/call/inbox.c
@@ -7,7 +7,8 @@
 
 #include "../entry/entry.h"
 
-static struct registry_shard *shard_of(struct registry *registry, uint64_t id);
+static struct registry_shard *shard_for_id(
+    struct registry *registry, uint64_t id);
 static struct request *shard_find(struct registry_shard *shard, uint64_t id);
 static void inbox_post(struct inbox *inbox, enum event_kind kind,
     const struct request *request, Kwb__Wire__Frame *frame);
@@ -28,7 +29,7 @@
 
 	while ((event = STAILQ_FIRST(&inbox->events)) != NULL) {
 		STAILQ_REMOVE_HEAD(&inbox->events, next);
-		event_free(event);
+		inbox_event_free(event);
 	}
 	pthread_cond_destroy(&inbox->changed);
 	pthread_mutex_destroy(&inbox->lock);
@@ -51,7 +52,7 @@
 }
 
 void
-event_free(struct event *event)
+inbox_event_free(struct event *event)
 {
 	kwb_frame_free(event->frame);
 	free(event);
@@ -79,7 +80,7 @@
 }
 
 uint64_t
-registry_open(
+registry_open_request(
     struct registry *registry, struct inbox *inbox, uint64_t link, void *owner)
 {
 	struct request *request = calloc(1, sizeof(*request));
@@ -91,7 +92,7 @@
 	request->link = link;
 	request->owner = owner;
 	request->inbox = inbox;
-	shard = shard_of(registry, request->id);
+	shard = shard_for_id(registry, request->id);
 	pthread_mutex_lock(&shard->lock);
 	TAILQ_INSERT_HEAD(&shard->requests, request, next);
 	pthread_mutex_unlock(&shard->lock);
@@ -99,9 +100,9 @@
 }
 
 void
-registry_close(struct registry *registry, uint64_t id)
+registry_close_request(struct registry *registry, uint64_t id)
 {
-	struct registry_shard *shard = shard_of(registry, id);
+	struct registry_shard *shard = shard_for_id(registry, id);
 	struct request *request;
 
 	pthread_mutex_lock(&shard->lock);
@@ -114,9 +115,10 @@
 
 /* Takes over the frame; one for a request no longer open is dropped. */
 void
-registry_post(struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame)
+registry_deliver(
+    struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame)
 {
-	struct registry_shard *shard = shard_of(registry, id);
+	struct registry_shard *shard = shard_for_id(registry, id);
 	struct request *request;
 
 	pthread_mutex_lock(&shard->lock);
@@ -147,7 +149,7 @@
 }
 
 static struct registry_shard *
-shard_of(struct registry *registry, uint64_t id)
+shard_for_id(struct registry *registry, uint64_t id)
 {
 	return &registry->shards[id % KWB_SHARDS];
 }
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -96,15 +96,15 @@
  * retry could run again.
  */
 bool
-journal_full(const struct journal *journal)
+journal_is_full(const struct journal *journal)
 {
-	return atomic_load(&journal->count) >= KWB_JOBS_MAX ||
-	    atomic_load(&journal->kept_bytes) >= KWB_SAMPLE_KEEP_BYTES;
+	return atomic_load(&journal->count) >= KWB_JOURNAL_JOBS_MAX ||
+	    atomic_load(&journal->kept_bytes) >= KWB_JOURNAL_MAX_BYTES;
 }
 
 /* Accounts for a finished job's memory; called under its shard's lock. */
 void
-journal_keep(struct journal *journal, struct job *job)
+journal_retain(struct journal *journal, struct job *job)
 {
 	size_t bytes = job->body.room_bytes;
 	uint32_t i;
@@ -113,7 +113,7 @@
 		bytes += strlen(job->tokens.text[i]) + 1 + sizeof(char *) +
 		    sizeof(uint64_t);
 	job->kept_bytes = bytes;
-	job->forget_ns = kwb_clock_now_ns() + KWB_JOB_KEEP_MS * KWB_MS_NS;
+	job->forget_ns = kwb_clock_now_ns() + KWB_JOB_RETENTION_MS * KWB_MS_NS;
 	atomic_fetch_add(&journal->kept_bytes, bytes);
 }
 
@@ -122,7 +122,7 @@
  * by handle_expired; an attempt below the fence is refused.
  */
 int
-journal_fence(
+journal_raise_fence(
     struct journal *journal, const char *plan, uint64_t step, uint32_t attempt)
 {
 	struct step_fence *fence = NULL;
@@ -153,7 +153,7 @@
 {
 	struct attachment *to;
 
-	if (job->attached == KWB_ATTACH_MAX)
+	if (job->attached == KWB_JOB_ATTACHMENTS_MAX)
 		return false;
 	to = &job->attachments[job->attached++];
 	to->link = link;
@@ -182,7 +182,7 @@
 		found = true;
 	}
 	if (found && job->attached == 0)
-		job->orphan_ns = kwb_clock_now_ns() + KWB_ORPHAN_NS;
+		job->orphan_ns = kwb_clock_now_ns() + KWB_JOB_ORPHAN_NS;
 	return found;
 }
 
--- a/src/call/ticket.c
+++ b/src/call/ticket.c
@@ -9,11 +9,11 @@
 
 #include "kwb.h"
 
-#define PREFIX "kwb1"
-#define CLAIM_MAX_BYTES 512
+#define TICKET_PREFIX "kwb1"
+#define CLAIM_NAME_MAX_BYTES 512
 #define CLAIM_TRIES 2
 
-static bool key_is_good(const char *key);
+static bool key_is_valid(const char *key);
 
 const char *
 kwb_outcome_name(enum kwb_outcome outcome)
@@ -32,16 +32,16 @@
 
 /* The VM is part of a key: incarnations of two entries may be equal. */
 void
-kwb_key_call(char *key, size_t room_bytes, const struct kwb_origin *origin,
-    const char *plan, uint64_t number)
+kwb_call_key_print(char *key, size_t room_bytes,
+    const struct kwb_origin *origin, const char *plan, uint64_t number)
 {
 	snprintf(key, room_bytes, "m/%s/%s/%" PRIx64 "/%" PRIx64, plan,
 	    origin->vm, origin->incarnation, number);
 }
 
 void
-kwb_key_start(char *key, size_t room_bytes, const struct kwb_origin *origin,
-    const char *name, unsigned starts)
+kwb_generation_key_print(char *key, size_t room_bytes,
+    const struct kwb_origin *origin, const char *name, unsigned starts)
 {
 	snprintf(key, room_bytes, "%s/%s/%" PRIx64 "/%u", name, origin->vm,
 	    origin->incarnation, starts);
@@ -50,8 +50,9 @@
 int
 kwb_ticket_print(const struct kwb_pin *pin, struct kwb_buf *out)
 {
-	return kwb_buf_printf(out, PREFIX ".%s.%" PRIu64 ".%" PRIu64 ".%s",
-	    pin->vm, pin->incarnation, pin->minted_ms, pin->key);
+	return kwb_buf_printf(out,
+	    TICKET_PREFIX ".%s.%" PRIu64 ".%" PRIu64 ".%s", pin->vm,
+	    pin->incarnation, pin->minted_ms, pin->key);
 }
 
 int
@@ -60,10 +61,11 @@
 	int used = 0;
 
 	memset(pin, 0, sizeof(*pin));
-	if (sscanf(text, PREFIX ".%63[^.].%" SCNu64 ".%" SCNu64 ".%191s%n",
+	if (sscanf(text,
+		TICKET_PREFIX ".%63[^.].%" SCNu64 ".%" SCNu64 ".%191s%n",
 		pin->vm, &pin->incarnation, &pin->minted_ms, pin->key,
 		&used) != 4 ||
-	    text[used] != '\0' || !key_is_good(pin->key))
+	    text[used] != '\0' || !key_is_valid(pin->key))
 		return KWB_ERR_ARGUMENT;
 	return 0;
 }
@@ -74,10 +76,10 @@
  * decided: an insert that may still be on its way must not be given up.
  */
 int
-kwb_claim(
+kwb_pin_claim(
     const struct kwb_platform *platform, const char *plan, struct kwb_pin *pin)
 {
-	char name[CLAIM_MAX_BYTES];
+	char name[CLAIM_NAME_MAX_BYTES];
 	struct kwb_buf value;
 	uint64_t revision;
 	struct kwb_pin first;
@@ -108,7 +110,7 @@
 }
 
 static bool
-key_is_good(const char *key)
+key_is_valid(const char *key)
 {
 	return key[0] != '\0' && strpbrk(key, " \t\r\n") == NULL;
 }
--- a/src/call/tokens.c
+++ b/src/call/tokens.c
@@ -6,7 +6,7 @@
 
 #include "kwb.h"
 
-#define FIRST_ROOM 64
+#define INITIAL_CAPACITY 64
 
 void
 kwb_tokens_init(struct kwb_tokens *tokens)
@@ -29,7 +29,7 @@
 int
 kwb_tokens_add(struct kwb_tokens *tokens, const char *text, uint64_t version)
 {
-	uint32_t room = tokens->room ? tokens->room * 2 : FIRST_ROOM;
+	uint32_t room = tokens->room ? tokens->room * 2 : INITIAL_CAPACITY;
 	void *grown;
 
 	if (tokens->count == tokens->room) {
@@ -54,7 +54,7 @@
 
 /* The oldest version among the tokens; UINT64_MAX when there are none. */
 uint64_t
-kwb_tokens_oldest(const struct kwb_tokens *tokens)
+kwb_tokens_oldest_version(const struct kwb_tokens *tokens)
 {
 	uint64_t oldest = UINT64_MAX;
 	uint32_t i;
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -195,7 +195,7 @@
 
 	if (fresh == NULL)
 		return NULL;
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	peers_update(entry, entry->vms);
 	while (!atomic_load(&entry->stopping)) {
 		now_ns = kwb_clock_now_ns();
@@ -215,7 +215,7 @@
 		kwb_clock_sleep_ns(STEP_NS);
 	}
 	free(fresh);
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
@@ -228,11 +228,11 @@
 
 	kwb_buf_init(&text);
 	error = kwb_lists_read(
-	    &entry->platform, kwb_current_revision(), &text, &revision);
+	    &entry->platform, kwb_current_lists_revision(), &text, &revision);
 	atomic_store(&entry->platform_up,
 	    error >= 0 || error == KWB_ERR_PLATFORM_MISSING);
-	if (error == 0 && revision > kwb_current_revision() &&
-	    kwb_current_offer(text.data, text.used_bytes, revision) > 0)
+	if (error == 0 && revision > kwb_current_lists_revision() &&
+	    kwb_current_lists_update(text.data, text.used_bytes, revision) > 0)
 		peers_push_lists(entry);
 	kwb_buf_finish(&text);
 }
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -187,7 +187,7 @@
 int peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
     const char *plan, const char *model, const char *key,
     struct target *target);
-int peers_target(struct kwb_entry *entry, const char *vm, const char *plan,
+int peers_reserve(struct kwb_entry *entry, const char *vm, const char *plan,
     const char *model, struct target *target);
 void peers_release(struct kwb_entry *entry, struct target *target, int error);
 void peers_update(struct kwb_entry *entry, const struct kwb_vms *vms);
@@ -197,20 +197,20 @@
     struct target *targets, unsigned targets_max);
 uint32_t peers_idle_units(
     struct kwb_entry *entry, const char *plan, int except);
-void peers_print(struct kwb_entry *entry, struct kwb_buf *out);
+void peers_print_json(struct kwb_entry *entry, struct kwb_buf *out);
 extern const struct kwb_link_ops peer_link_ops;
 
 /* inbox.c */
 void inbox_init(struct inbox *inbox);
 void inbox_finish(struct inbox *inbox);
 struct event *inbox_wait(struct inbox *inbox, uint64_t deadline_ns);
-void event_free(struct event *event);
+void inbox_event_free(struct event *event);
 void registry_init(struct registry *registry);
 void registry_finish(struct registry *registry);
-uint64_t registry_open(
+uint64_t registry_open_request(
     struct registry *registry, struct inbox *inbox, uint64_t link, void *owner);
-void registry_close(struct registry *registry, uint64_t id);
-void registry_post(
+void registry_close_request(struct registry *registry, uint64_t id);
+void registry_deliver(
     struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame);
 void registry_link_lost(struct registry *registry, uint64_t link);
 
@@ -220,8 +220,8 @@
 int generation_start(struct kwb_entry *entry, struct generation *generation);
 int generation_attach(struct kwb_entry *entry, struct generation *generation,
     const char *vm, const char *key);
-void generation_event(struct kwb_entry *entry, struct generation *generation,
-    const struct event *event);
+void generation_handle_event(struct kwb_entry *entry,
+    struct generation *generation, const struct event *event);
 void generation_stop(
     struct kwb_entry *entry, struct generation *generation, bool keep);
 
@@ -251,7 +251,7 @@
 
 void call_run(
     struct kwb_entry *entry, struct call *call, struct call_answer *answer);
-int call_mint(struct kwb_entry *entry, const char *plan, const char *pool,
+int call_pin_create(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin);
 
 /* step.c */
--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -125,7 +125,7 @@
 {
 	(void)context;
 	(void)type;
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	return NULL;
 }
 
@@ -135,7 +135,7 @@
 	(void)context;
 	(void)type;
 	(void)thread;
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 }
 
 static void
@@ -193,9 +193,9 @@
 		length = sizeof(exchange->plan_name) - 1;
 	memcpy(exchange->plan_name, path, length);
 	exchange->rest = path + length;
-	lists = kwb_current_hold();
-	plan = kwb_lists_plan(lists, exchange->plan_name);
-	allowance = kwb_lists_allowance(lists, exchange->plan_name);
+	lists = kwb_current_lists_read_lock();
+	plan = kwb_lists_find_plan(lists, exchange->plan_name);
+	allowance = kwb_lists_find_allowance(lists, exchange->plan_name);
 	if (lists != NULL)
 		error = KWB_ERR_ARGUMENT;
 	if (plan != NULL && allowance != NULL) {
@@ -208,7 +208,7 @@
 		exchange->queue_max = allowance->queue;
 		error = exchange->plan.rules ? 0 : KWB_ERR_MEMORY;
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	if (error != 0)
 		refuse_early(exchange, error == KWB_ERR_ARGUMENT ? 404 : 503,
 		    error, "no such plan");
@@ -266,7 +266,7 @@
 {
 	struct kwb_entry *entry = context;
 	bool well =
-	    !atomic_load(&entry->draining) && kwb_current_revision() > 0;
+	    !atomic_load(&entry->draining) && kwb_current_lists_revision() > 0;
 
 	http_send(connection, well ? 200 : 503, "text/plain", "",
 	    well ? "ok\n" : "no\n", 3);
@@ -299,12 +299,12 @@
 	    "\"lists_revision\":%" PRIu64 ",\"platform_up\":%s,"
 	    "\"draining\":%s,\"leading\":%s,\"active\":%u,\"agents\":",
 	    entry->settings->vm, entry->settings->failure_domain,
-	    kwb_current_revision(),
+	    kwb_current_lists_revision(),
 	    atomic_load(&entry->platform_up) ? "true" : "false",
 	    atomic_load(&entry->draining) ? "true" : "false",
 	    atomic_load(&entry->leading) ? "true" : "false",
 	    atomic_load(&entry->active));
-	peers_print(entry, &out);
+	peers_print_json(entry, &out);
 	kwb_buf_printf(&out, "}\n");
 	http_send(
 	    connection, 200, "application/json", "", out.data, out.used_bytes);
--- a/src/entry/http_call.c
+++ b/src/entry/http_call.c
@@ -34,7 +34,7 @@
 	call.content_type = mg_get_header(exchange->connection, "Content-Type");
 	if (call.content_type == NULL)
 		call.content_type = "application/octet-stream";
-	rule = kwb_plan_rule(&exchange->plan, method, path);
+	rule = kwb_plan_match_rule(&exchange->plan, method, path);
 	call.idempotent = rule
 	    ? rule->idempotent
 	    : strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
@@ -52,7 +52,7 @@
 {
 	struct kwb_pin pin = {0};
 	struct kwb_buf text;
-	int error = call_mint(
+	int error = call_pin_create(
 	    exchange->entry, exchange->plan_name, exchange->plan.pool, &pin);
 
 	if (error != 0) {
@@ -95,9 +95,10 @@
 		    KWB_ERR_ARGUMENT, "malformed Idempotency-Key");
 		return false;
 	}
-	error = call_mint(exchange->entry, call->plan, call->pool, &call->pin);
+	error = call_pin_create(
+	    exchange->entry, call->plan, call->pool, &call->pin);
 	if (error == 0)
-		error = kwb_claim(
+		error = kwb_pin_claim(
 		    &exchange->entry->platform, call->plan, &call->pin);
 	if (error == 0)
 		return true;
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -85,8 +85,9 @@
 			break;
 		event = inbox_wait(generation->inbox, generation->deadline_ns);
 		if (event != NULL) {
-			generation_event(exchange->entry, generation, event);
-			event_free(event);
+			generation_handle_event(
+			    exchange->entry, generation, event);
+			inbox_event_free(event);
 		}
 		if (!stream || generation->tokens.count == sent)
 			continue;
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -70,7 +70,7 @@
 
 	if (keeper == NULL)
 		return NULL;
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	keeper->agent = agent;
 	snprintf(keeper->row_key, sizeof(keeper->row_key), "shares/%s",
 	    agent->settings->pool);
@@ -80,9 +80,10 @@
 	while (!atomic_load(&agent->stopping)) {
 		uint64_t now_ns = kwb_clock_now_ns();
 
-		if (kwb_current_revision() > 0 &&
-		    (now_ns >= poll_ns || revision != kwb_current_revision())) {
-			revision = kwb_current_revision();
+		if (kwb_current_lists_revision() > 0 &&
+		    (now_ns >= poll_ns ||
+			revision != kwb_current_lists_revision())) {
+			revision = kwb_current_lists_revision();
 			keeper_poll(keeper, &settled);
 			poll_ns = kwb_clock_now_ns() +
 			    (settled ? KWB_SHARE_POLL_NS : UNSETTLED_NS) +
@@ -94,7 +95,7 @@
 	json_decref(keeper->row);
 	free(keeper->vms);
 	free(keeper);
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
@@ -175,14 +176,14 @@
 static bool
 plans_next(struct keeper *keeper, bool reachable, bool *settled)
 {
-	const struct kwb_lists *lists = kwb_current_hold();
+	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	bool changed = false;
 	uint32_t i;
 
 	for (i = 0; lists != NULL && i < lists->plans_count; i++) {
 		const struct kwb_plan *plan = &lists->plans[i];
 		const struct kwb_allowance *allowance =
-		    kwb_lists_allowance(lists, plan->name);
+		    kwb_lists_find_allowance(lists, plan->name);
 
 		if (strcmp(plan->pool, keeper->agent->settings->pool) != 0)
 			continue;
@@ -197,7 +198,7 @@
 			     settled))
 			changed = true;
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	return changed;
 }
 
@@ -345,13 +346,13 @@
 static void
 plans_apply(struct keeper *keeper, json_t *units)
 {
-	const struct kwb_lists *lists = kwb_current_hold();
+	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	const char *plan;
 	json_t *value;
 
 	json_object_foreach (units, plan, value) {
 		const struct kwb_allowance *allowance =
-		    lists ? kwb_lists_allowance(lists, plan) : NULL;
+		    lists ? kwb_lists_find_allowance(lists, plan) : NULL;
 		unsigned self = 0, count = members_for(keeper, plan, &self);
 		uint32_t held = (uint32_t)json_integer_value(value), fair = 0;
 
@@ -360,7 +361,7 @@
 			    keeper->members, count, self);
 		run_set_units(keeper->agent, plan, held < fair ? held : fair);
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 }
 
 /*
--- a/src/lists/check.c
+++ b/src/lists/check.c
@@ -1,6 +1,7 @@
 /*
- * Checks of the two lists together: names, ranges and references. Every fault
- * is reported, with the file and line of its field where the text is known.
+ * Checks of the two lists together: names, ranges and references. Every
+ * add_fault is reported, with the file and line of its field where the text is
+ * known.
  */
 #include <ctype.h>
 #include <stdio.h>
@@ -12,11 +13,11 @@
 #define QUEUE_MAX 1000000u
 #define TIMEOUT_MS_MAX 600000u
 #define TOKENS_MAX 1000000u
-#define STALENESS_MAX 1000u
-#define WHERE_MAX_BYTES 160
+#define STALENESS_MAX_VERSIONS 1000u
+#define LOCATION_MAX_BYTES 160
 
 struct check {
-	const struct kwb_source *sources;
+	const struct kwb_lists_source *sources;
 	unsigned sources_count;
 	struct kwb_faults *faults;
 };
@@ -27,16 +28,17 @@
     const struct check *check, const struct kwb_lists *lists, uint32_t index);
 static void check_rules(
     const struct check *check, const struct kwb_plan *plan, uint32_t index);
-static void fault(const struct check *check, const char *list, uint32_t index,
-    const char *field, const char *what);
+static void add_fault(const struct check *check, const char *list,
+    uint32_t index, const char *field, const char *what);
 static int field_line(
     const char *text, const char *list, uint32_t index, const char *field);
-static bool line_has(const char *line, const char *field);
-static bool name_is_good(const char *name);
+static bool line_has_field(const char *line, const char *field);
+static bool name_is_valid(const char *name);
 
 int
-kwb_lists_check(const struct kwb_lists *lists, const struct kwb_source *sources,
-    unsigned sources_count, struct kwb_faults *faults)
+kwb_lists_check(const struct kwb_lists *lists,
+    const struct kwb_lists_source *sources, unsigned sources_count,
+    struct kwb_faults *faults)
 {
 	struct check check = {sources, sources_count, faults};
 	unsigned before = faults->count;
@@ -56,32 +58,33 @@
 	const struct kwb_plan *plan = &lists->plans[index];
 	uint32_t i;
 
-	if (!name_is_good(plan->name))
-		fault(check, "plans", index, "name",
+	if (!name_is_valid(plan->name))
+		add_fault(check, "plans", index, "name",
 		    "must be 1 to 63 letters, digits, '-' or '_'");
 	for (i = 0; i < index; i++)
 		if (strcmp(lists->plans[i].name, plan->name) == 0)
-			fault(check, "plans", index, "name", "duplicate name");
+			add_fault(
+			    check, "plans", index, "name", "duplicate name");
 	if (plan->customer[0] == '\0')
-		fault(check, "plans", index, "customer", "missing");
+		add_fault(check, "plans", index, "customer", "missing");
 	if (plan->pool[0] == '\0')
-		fault(check, "plans", index, "pool", "missing");
+		add_fault(check, "plans", index, "pool", "missing");
 	if (plan->kind != KWB_PLAN_SERVICE && plan->model[0] == '\0')
-		fault(check, "plans", index, "model", "missing");
+		add_fault(check, "plans", index, "model", "missing");
 	if (plan->kind == KWB_PLAN_SERVICE && plan->model[0] != '\0')
-		fault(check, "plans", index, "model",
+		add_fault(check, "plans", index, "model",
 		    "a service plan has no model");
 	if (plan->kind != KWB_PLAN_SERVICE && plan->rules_count > 0)
-		fault(check, "plans", index, "rules",
+		add_fault(check, "plans", index, "rules",
 		    "only a service plan has rules");
-	if (plan->staleness_versions > STALENESS_MAX)
-		fault(check, "plans", index, "staleness_versions",
+	if (plan->staleness_versions > STALENESS_MAX_VERSIONS)
+		add_fault(check, "plans", index, "staleness_versions",
 		    "must be 0 to 1000 versions");
 	if (plan->max_tokens > TOKENS_MAX)
-		fault(check, "plans", index, "max_tokens",
+		add_fault(check, "plans", index, "max_tokens",
 		    "must be 1 to 1000000 tokens");
-	if (kwb_lists_allowance(lists, plan->name) == NULL)
-		fault(check, "plans", index, "name",
+	if (kwb_lists_find_allowance(lists, plan->name) == NULL)
+		add_fault(check, "plans", index, "name",
 		    "no allowance refers to this plan");
 	check_rules(check, plan, index);
 }
@@ -96,12 +99,12 @@
 		const struct kwb_rule *rule = &plan->rules[i];
 
 		if (rule->method[0] == '\0')
-			fault(check, "plans", index, "method", "missing");
+			add_fault(check, "plans", index, "method", "missing");
 		if (rule->path[0] != '/')
-			fault(check, "plans", index, "path",
+			add_fault(check, "plans", index, "path",
 			    "must begin with '/'");
 		if (rule->timeout_ms > TIMEOUT_MS_MAX)
-			fault(check, "plans", index, "timeout_ms",
+			add_fault(check, "plans", index, "timeout_ms",
 			    "must be 1 to 600000 ms");
 	}
 }
@@ -113,26 +116,27 @@
 	const struct kwb_allowance *allowance = &lists->allowances[index];
 	uint32_t i;
 
-	if (kwb_lists_plan(lists, allowance->plan) == NULL)
-		fault(check, "allowances", index, "plan", "refers to no plan");
+	if (kwb_lists_find_plan(lists, allowance->plan) == NULL)
+		add_fault(
+		    check, "allowances", index, "plan", "refers to no plan");
 	for (i = 0; i < index; i++)
 		if (strcmp(lists->allowances[i].plan, allowance->plan) == 0)
-			fault(check, "allowances", index, "plan",
+			add_fault(check, "allowances", index, "plan",
 			    "duplicate allowance");
 	if (allowance->concurrent == 0 ||
 	    allowance->concurrent > CONCURRENT_MAX)
-		fault(check, "allowances", index, "concurrent",
+		add_fault(check, "allowances", index, "concurrent",
 		    "must be 1 to 1000000 requests");
 	if (allowance->queue > QUEUE_MAX)
-		fault(check, "allowances", index, "queue",
+		add_fault(check, "allowances", index, "queue",
 		    "must be 0 to 1000000 requests");
 }
 
 static void
-fault(const struct check *check, const char *list, uint32_t index,
+add_fault(const struct check *check, const char *list, uint32_t index,
     const char *field, const char *what)
 {
-	char where[WHERE_MAX_BYTES] = "lists";
+	char where[LOCATION_MAX_BYTES] = "lists";
 	unsigned i;
 	int line;
 
@@ -178,7 +182,7 @@
 				item_line = line;
 			word += 1 + strspn(word + 1, " ");
 		}
-		if (items == index + 1 && line_has(word, field))
+		if (items == index + 1 && line_has_field(word, field))
 			return line;
 	}
 	return item_line;
@@ -186,7 +190,7 @@
 
 /* Whether the line has the field, in block or in flow style. */
 static bool
-line_has(const char *line, const char *field)
+line_has_field(const char *line, const char *field)
 {
 	size_t length = strlen(field), end = strcspn(line, "\n");
 	const char *at = line;
@@ -201,7 +205,7 @@
 }
 
 static bool
-name_is_good(const char *name)
+name_is_valid(const char *name)
 {
 	const char *c;
 
--- a/src/lists/current.c
+++ b/src/lists/current.c
@@ -17,19 +17,19 @@
 };
 
 static struct current *current;
-static pthread_mutex_t offer_lock = PTHREAD_MUTEX_INITIALIZER;
+static pthread_mutex_t update_lock = PTHREAD_MUTEX_INITIALIZER;
 
 static void current_free(struct current *old);
 
 int
-kwb_current_init(void)
+kwb_current_lists_init(void)
 {
 	urcu_memb_init();
 	return 0;
 }
 
 void
-kwb_current_finish(void)
+kwb_current_lists_finish(void)
 {
 	struct current *old = current;
 
@@ -39,22 +39,23 @@
 }
 
 void
-kwb_current_thread_init(void)
+kwb_current_lists_register_thread(void)
 {
 	urcu_memb_register_thread();
 }
 
 void
-kwb_current_thread_finish(void)
+kwb_current_lists_unregister_thread(void)
 {
 	urcu_memb_unregister_thread();
 }
 
 int
-kwb_current_offer(const char *text, size_t length_bytes, uint64_t revision)
+kwb_current_lists_update(
+    const char *text, size_t length_bytes, uint64_t revision)
 {
 	struct kwb_faults faults = {0};
-	struct kwb_source source = {"platform", NULL};
+	struct kwb_lists_source source = {"platform", NULL};
 	struct current *fresh, *old = NULL;
 	int taken = 0;
 
@@ -64,7 +65,7 @@
 	fresh->text = strndup(text, length_bytes);
 	fresh->length_bytes = length_bytes;
 	source.text = fresh->text;
-	pthread_mutex_lock(&offer_lock);
+	pthread_mutex_lock(&update_lock);
 	if (current != NULL && current->lists->revision >= revision) {
 		old = fresh;
 	} else if (fresh->text == NULL ||
@@ -78,7 +79,7 @@
 		kwb_metric_set(KWB_METRIC_LISTS_REVISION, revision);
 		taken = 1;
 	}
-	pthread_mutex_unlock(&offer_lock);
+	pthread_mutex_unlock(&update_lock);
 	if (old != NULL)
 		urcu_memb_synchronize_rcu();
 	current_free(old);
@@ -93,13 +94,13 @@
 }
 
 uint64_t
-kwb_current_revision(void)
+kwb_current_lists_revision(void)
 {
 	return kwb_metric_get(KWB_METRIC_LISTS_REVISION);
 }
 
 const struct kwb_lists *
-kwb_current_hold(void)
+kwb_current_lists_read_lock(void)
 {
 	struct current *held;
 
@@ -109,13 +110,13 @@
 }
 
 void
-kwb_current_drop(void)
+kwb_current_lists_read_unlock(void)
 {
 	urcu_memb_read_unlock();
 }
 
 int
-kwb_current_text(struct kwb_buf *out, uint64_t *revision)
+kwb_current_lists_text(struct kwb_buf *out, uint64_t *revision)
 {
 	struct current *held;
 	int error = KWB_ERR_LISTS_NONE;
@@ -135,7 +136,7 @@
 {
 	if (old == NULL)
 		return;
-	kwb_lists_unload(old->lists);
+	kwb_lists_free(old->lists);
 	free(old->text);
 	free(old);
 }
--- a/src/lists/lists.c
+++ b/src/lists/lists.c
@@ -7,7 +7,7 @@
 #include "../core/yaml.h"
 
 #define OPT CYAML_FLAG_OPTIONAL
-#define CALL_TIMEOUT_MS_DEFAULT 10000
+#define RULE_TIMEOUT_MS_DEFAULT 10000
 #define MAX_TOKENS_DEFAULT 4096
 
 #define TEXT(type, field) CYAML_FIELD_STRING(#field, OPT, type, field, 0)
@@ -84,7 +84,7 @@
 static void fill_defaults(struct kwb_lists *lists);
 
 int
-kwb_lists_parse(struct kwb_lists **lists, const struct kwb_source *source,
+kwb_lists_parse(struct kwb_lists **lists, const struct kwb_lists_source *source,
     struct kwb_faults *faults)
 {
 	struct kwb_yaml yaml;
@@ -120,7 +120,7 @@
 }
 
 void
-kwb_lists_unload(struct kwb_lists *lists)
+kwb_lists_free(struct kwb_lists *lists)
 {
 	struct kwb_faults faults = {0};
 	struct kwb_yaml yaml;
@@ -133,7 +133,7 @@
 }
 
 const struct kwb_plan *
-kwb_lists_plan(const struct kwb_lists *lists, const char *name)
+kwb_lists_find_plan(const struct kwb_lists *lists, const char *name)
 {
 	uint32_t i;
 
@@ -144,7 +144,7 @@
 }
 
 const struct kwb_allowance *
-kwb_lists_allowance(const struct kwb_lists *lists, const char *plan)
+kwb_lists_find_allowance(const struct kwb_lists *lists, const char *plan)
 {
 	uint32_t i;
 
@@ -156,7 +156,8 @@
 
 /* The first rule whose method matches and whose path is a prefix. */
 const struct kwb_rule *
-kwb_plan_rule(const struct kwb_plan *plan, const char *method, const char *path)
+kwb_plan_match_rule(
+    const struct kwb_plan *plan, const char *method, const char *path)
 {
 	uint32_t i;
 
@@ -183,6 +184,6 @@
 		for (j = 0; j < plan->rules_count; j++)
 			if (plan->rules[j].timeout_ms == 0)
 				plan->rules[j].timeout_ms =
-				    CALL_TIMEOUT_MS_DEFAULT;
+				    RULE_TIMEOUT_MS_DEFAULT;
 	}
 }
--- a/src/lists/merge.c
+++ b/src/lists/merge.c
@@ -10,14 +10,14 @@
 static void plan_print(const struct kwb_plan *plan, struct kwb_buf *out);
 static void allowance_print(
     const struct kwb_allowance *allowance, struct kwb_buf *out);
-static void entry_text(const struct kwb_lists *lists, bool plans,
+static void print_entry(const struct kwb_lists *lists, bool plans,
     const char *name, struct kwb_buf *out);
-static uint32_t names_of(const struct kwb_lists *const *lists, unsigned count,
-    bool plans, const char **names);
+static uint32_t collect_names(const struct kwb_lists *const *lists,
+    unsigned count, bool plans, const char **names);
 static int merge_entries(struct kwb_lists *merged,
     const struct kwb_lists *const *sides, bool plans,
     struct kwb_buf *conflicts);
-static int entry_copy(struct kwb_lists *merged, const struct kwb_lists *from,
+static int copy_entry(struct kwb_lists *merged, const struct kwb_lists *from,
     bool plans, const char *name);
 
 int
@@ -34,11 +34,11 @@
 	kwb_buf_init(&old_text);
 	kwb_buf_init(&new_text);
 	for (plans = 1; plans >= 0; plans--) {
-		count = names_of(sides, 2, plans != 0, names);
+		count = collect_names(sides, 2, plans != 0, names);
 		for (i = 0; i < count; i++) {
 			old_text.used_bytes = new_text.used_bytes = 0;
-			entry_text(from, plans != 0, names[i], &old_text);
-			entry_text(to, plans != 0, names[i], &new_text);
+			print_entry(from, plans != 0, names[i], &old_text);
+			print_entry(to, plans != 0, names[i], &new_text);
 			if (strcmp(kwb_buf_text(&old_text),
 				kwb_buf_text(&new_text)) == 0)
 				continue;
@@ -74,7 +74,7 @@
 	}
 	if (error == 0)
 		return 0;
-	kwb_lists_unload(*merged);
+	kwb_lists_free(*merged);
 	*merged = NULL;
 	return error;
 }
@@ -84,7 +84,7 @@
     bool plans, struct kwb_buf *conflicts)
 {
 	const char *names[3 * KWB_PLANS_MAX];
-	uint32_t i, count = names_of(sides, 3, plans, names);
+	uint32_t i, count = collect_names(sides, 3, plans, names);
 	struct kwb_buf text[3];
 	const struct kwb_lists *winner;
 	int side, error = 0;
@@ -92,7 +92,7 @@
 	for (i = 0; i < count; i++) {
 		for (side = 0; side < 3; side++) {
 			kwb_buf_init(&text[side]);
-			entry_text(sides[side], plans, names[i], &text[side]);
+			print_entry(sides[side], plans, names[i], &text[side]);
 		}
 		const char *base = kwb_buf_text(&text[0]);
 		const char *theirs = kwb_buf_text(&text[1]);
@@ -107,7 +107,7 @@
 			error = KWB_ERR_LISTS_CONFLICT;
 		}
 		if (error == 0)
-			error = entry_copy(merged, winner, plans, names[i]);
+			error = copy_entry(merged, winner, plans, names[i]);
 		for (side = 0; side < 3; side++)
 			kwb_buf_finish(&text[side]);
 	}
@@ -115,11 +115,12 @@
 }
 
 static int
-entry_copy(struct kwb_lists *merged, const struct kwb_lists *from, bool plans,
+copy_entry(struct kwb_lists *merged, const struct kwb_lists *from, bool plans,
     const char *name)
 {
-	const struct kwb_plan *plan = kwb_lists_plan(from, name);
-	const struct kwb_allowance *allowance = kwb_lists_allowance(from, name);
+	const struct kwb_plan *plan = kwb_lists_find_plan(from, name);
+	const struct kwb_allowance *allowance =
+	    kwb_lists_find_allowance(from, name);
 	struct kwb_plan *to;
 	void *grown;
 
@@ -156,7 +157,7 @@
 
 /* The distinct names of all sides, in order of first appearance. */
 static uint32_t
-names_of(const struct kwb_lists *const *lists, unsigned count, bool plans,
+collect_names(const struct kwb_lists *const *lists, unsigned count, bool plans,
     const char **names)
 {
 	uint32_t i, j, entries, used = 0;
@@ -181,12 +182,12 @@
 }
 
 static void
-entry_text(const struct kwb_lists *lists, bool plans, const char *name,
+print_entry(const struct kwb_lists *lists, bool plans, const char *name,
     struct kwb_buf *out)
 {
-	const struct kwb_plan *plan = kwb_lists_plan(lists, name);
+	const struct kwb_plan *plan = kwb_lists_find_plan(lists, name);
 	const struct kwb_allowance *allowance =
-	    kwb_lists_allowance(lists, name);
+	    kwb_lists_find_allowance(lists, name);
 
 	if (plans && plan != NULL)
 		plan_print(plan, out);
--- a/src/lists/store.c
+++ b/src/lists/store.c
@@ -12,21 +12,21 @@
 #include "kwb.h"
 
 #define LISTS_KEY "lists"
-#define NAME_MAX_BYTES 64
-#define TRIES 10
-#define PAUSE_NS (200 * KWB_MS_NS)
+#define OBJECT_NAME_MAX_BYTES 64
+#define APPLY_TRIES 10
+#define RETRY_DELAY_NS (200 * KWB_MS_NS)
 
 static int parse_text(
     struct kwb_buf *text, uint64_t revision, struct kwb_lists **lists);
 static int apply_once(const struct kwb_platform *platform,
     const struct kwb_lists *ours, uint64_t *revision, struct kwb_buf *conflicts,
     struct kwb_faults *faults);
-static int merged_with(const struct kwb_platform *platform,
-    const struct kwb_lists *ours, const struct kwb_lists *now,
+static int merge_with_current(const struct kwb_platform *platform,
+    const struct kwb_lists *ours, const struct kwb_lists *current,
     struct kwb_lists **merged, struct kwb_buf *conflicts);
 static int lists_write(const struct kwb_platform *platform,
     const struct kwb_lists *lists, uint64_t expected, uint64_t *revision);
-static void keep_history(const struct kwb_platform *platform, uint64_t revision,
+static void save_history(const struct kwb_platform *platform, uint64_t revision,
     const struct kwb_buf *text);
 
 int
@@ -49,10 +49,10 @@
 }
 
 int
-kwb_lists_fetch_old(const struct kwb_platform *platform, uint64_t revision,
+kwb_lists_fetch_revision(const struct kwb_platform *platform, uint64_t revision,
     struct kwb_lists **lists)
 {
-	char name[NAME_MAX_BYTES];
+	char name[OBJECT_NAME_MAX_BYTES];
 	struct kwb_buf text;
 	int error;
 
@@ -78,12 +78,12 @@
 {
 	int tries, error = 0;
 
-	for (tries = 0; tries < TRIES; tries++) {
+	for (tries = 0; tries < APPLY_TRIES; tries++) {
 		error = apply_once(platform, ours, revision, conflicts, faults);
 		if (error != KWB_ERR_PLATFORM_DOWN &&
 		    error != KWB_ERR_PLATFORM_CONFLICT)
 			break;
-		kwb_clock_sleep_ns(PAUSE_NS);
+		kwb_clock_sleep_ns(RETRY_DELAY_NS);
 	}
 	return error;
 }
@@ -92,40 +92,42 @@
 apply_once(const struct kwb_platform *platform, const struct kwb_lists *ours,
     uint64_t *revision, struct kwb_buf *conflicts, struct kwb_faults *faults)
 {
-	struct kwb_lists *now = NULL, *merged = NULL;
+	struct kwb_lists *current = NULL, *merged = NULL;
 	struct kwb_buf ignored;
 	int error;
 
-	error = kwb_lists_fetch(platform, &now);
+	error = kwb_lists_fetch(platform, &current);
 	if (error != 0)
 		return error;
 	kwb_buf_init(&ignored);
 	conflicts->used_bytes = 0;
 	faults->count = 0;
-	error = merged_with(platform, ours, now, &merged, conflicts);
+	error = merge_with_current(platform, ours, current, &merged, conflicts);
 	if (error == 0)
 		error = kwb_lists_check(merged, NULL, 0, faults);
-	if (error == 0 && kwb_lists_diff(now, merged, &ignored) == 0)
-		*revision = now->revision;
+	if (error == 0 && kwb_lists_diff(current, merged, &ignored) == 0)
+		*revision = current->revision;
 	else if (error == 0)
-		error = lists_write(platform, merged, now->revision, revision);
+		error =
+		    lists_write(platform, merged, current->revision, revision);
 	kwb_buf_finish(&ignored);
-	kwb_lists_unload(merged);
-	kwb_lists_unload(now);
+	kwb_lists_free(merged);
+	kwb_lists_free(current);
 	return error;
 }
 
 static int
-merged_with(const struct kwb_platform *platform, const struct kwb_lists *ours,
-    const struct kwb_lists *now, struct kwb_lists **merged,
-    struct kwb_buf *conflicts)
+merge_with_current(const struct kwb_platform *platform,
+    const struct kwb_lists *ours, const struct kwb_lists *current,
+    struct kwb_lists **merged, struct kwb_buf *conflicts)
 {
 	struct kwb_lists *base = NULL;
 	int error;
 
-	if (ours->revision == now->revision)
-		return kwb_lists_merge(merged, now, now, ours, conflicts);
-	error = kwb_lists_fetch_old(platform, ours->revision, &base);
+	if (ours->revision == current->revision)
+		return kwb_lists_merge(
+		    merged, current, current, ours, conflicts);
+	error = kwb_lists_fetch_revision(platform, ours->revision, &base);
 	if (error == KWB_ERR_PLATFORM_MISSING) {
 		kwb_buf_printf(conflicts,
 		    "revision %" PRIu64 " is not in the history; get the "
@@ -134,8 +136,8 @@
 		return KWB_ERR_LISTS_CONFLICT;
 	}
 	if (error == 0)
-		error = kwb_lists_merge(merged, base, now, ours, conflicts);
-	kwb_lists_unload(base);
+		error = kwb_lists_merge(merged, base, current, ours, conflicts);
+	kwb_lists_free(base);
 	return error;
 }
 
@@ -153,23 +155,23 @@
 	if (expected > 0 &&
 	    kwb_lists_read(platform, 0, &old, &old_revision) == 0 &&
 	    old_revision == expected)
-		keep_history(platform, expected, &old);
+		save_history(platform, expected, &old);
 	error = kwb_lists_print(lists, &text);
 	if (error == 0)
 		error = kwb_table_put(platform, LISTS_KEY, text.data,
 		    text.used_bytes, expected, revision);
 	if (error == 0)
-		keep_history(platform, *revision, &text);
+		save_history(platform, *revision, &text);
 	kwb_buf_finish(&old);
 	kwb_buf_finish(&text);
 	return error;
 }
 
 static void
-keep_history(const struct kwb_platform *platform, uint64_t revision,
+save_history(const struct kwb_platform *platform, uint64_t revision,
     const struct kwb_buf *text)
 {
-	char name[NAME_MAX_BYTES];
+	char name[OBJECT_NAME_MAX_BYTES];
 
 	snprintf(name, sizeof(name), "lists/%" PRIu64, revision);
 	kwb_object_put(platform, name, text->data, text->used_bytes);
@@ -178,7 +180,7 @@
 static int
 parse_text(struct kwb_buf *text, uint64_t revision, struct kwb_lists **lists)
 {
-	struct kwb_source source = {"platform", kwb_buf_text(text)};
+	struct kwb_lists_source source = {"platform", kwb_buf_text(text)};
 	struct kwb_faults faults = {0};
 	int error = kwb_lists_parse(lists, &source, &faults);
 
@@ -186,7 +188,7 @@
 		(*lists)->revision = revision;
 		return 0;
 	}
-	kwb_lists_unload(*lists);
+	kwb_lists_free(*lists);
 	*lists = NULL;
 	return error;
 }
--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -42,7 +42,7 @@
 }
 
 int
-kwb_lease_try(struct kwb_lease *lease, const struct kwb_platform *platform)
+kwb_lease_acquire(struct kwb_lease *lease, const struct kwb_platform *platform)
 {
 	uint64_t started_ns = kwb_clock_now_ns();
 	uint64_t revision = 0, token;
@@ -81,7 +81,7 @@
 }
 
 int
-kwb_lease_token(const struct kwb_platform *platform, const char *name,
+kwb_lease_read_token(const struct kwb_platform *platform, const char *name,
     uint64_t *fencing_token)
 {
 	uint64_t revision;
--- a/src/member/peer.h
+++ b/src/member/peer.h
@@ -7,7 +7,7 @@
 #include "../entry/entry.h"
 
 /* The plan's use at the peer, made on first sight; NULL when full. */
-struct peer_plan *peer_plan_of(struct peer *peer, const char *plan);
+struct peer_plan *peer_plan_get(struct peer *peer, const char *plan);
 
 /* Sends the lists to a peer that knows an older revision. */
 void peer_send_lists(struct kwb_entry *entry, uint64_t link, uint32_t tag);
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -12,15 +12,15 @@
     void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame);
 static void on_close(void *context, uint64_t link, uint32_t tag);
 static void on_heartbeat(void *context, uint64_t link, uint32_t tag);
-static uint64_t beat_period_ns(const struct peers *peers);
-static void peer_hello(struct kwb_entry *entry, uint64_t link, uint32_t tag,
-    const Kwb__Wire__Hello *hello);
-static void peer_forget(struct peer *peer);
-static void peer_status(
+static uint64_t heartbeat_period_ns(const struct peers *peers);
+static void peer_handle_hello(struct kwb_entry *entry, uint64_t link,
+    uint32_t tag, const Kwb__Wire__Hello *hello);
+static void peer_clear_load(struct peer *peer);
+static void peer_apply_status(
     struct peer *peer, uint64_t revision, const Kwb__Wire__Status *status);
-static void peer_load(struct kwb_entry *entry, uint64_t link, struct peer *peer,
-    const Kwb__Wire__Done *done);
-static uint32_t others_of(uint32_t reported, uint32_t own);
+static void peer_apply_load(struct kwb_entry *entry, uint64_t link,
+    struct peer *peer, const Kwb__Wire__Done *done);
+static uint32_t load_of_others(uint32_t reported, uint32_t own);
 
 const struct kwb_link_ops peer_link_ops = {
     .on_open = on_open,
@@ -40,13 +40,13 @@
 	bool behind;
 
 	pthread_mutex_lock(&entry->peers.lock);
-	behind =
-	    peer->link == link && peer->lists_revision < kwb_current_revision();
+	behind = peer->link == link &&
+	    peer->lists_revision < kwb_current_lists_revision();
 	pthread_mutex_unlock(&entry->peers.lock);
 	if (!behind)
 		return;
 	kwb_buf_init(&text);
-	if (kwb_current_text(&text, &lists.revision) == 0) {
+	if (kwb_current_lists_text(&text, &lists.revision) == 0) {
 		lists.document.data = (uint8_t *)text.data;
 		lists.document.len = text.used_bytes;
 		kwb_link_send(&entry->loop, link, &frame);
@@ -70,7 +70,7 @@
 	hello.vm = (char *)entry->settings->vm;
 	hello.incarnation = entry->origin.incarnation;
 	hello.failure_domain = (char *)entry->settings->failure_domain;
-	hello.lists_revision = kwb_current_revision();
+	hello.lists_revision = kwb_current_lists_revision();
 	kwb_link_send(&entry->loop, link, &frame);
 }
 
@@ -82,33 +82,36 @@
 
 	switch (frame->body_case) {
 	case KWB__WIRE__FRAME__BODY_PROGRESS:
-		registry_post(
+		registry_deliver(
 		    &entry->registry, frame->progress->request, frame);
 		return;
 	case KWB__WIRE__FRAME__BODY_DONE:
-		peer_load(entry, link, peer, frame->done);
-		registry_post(&entry->registry, frame->done->request, frame);
+		peer_apply_load(entry, link, peer, frame->done);
+		registry_deliver(&entry->registry, frame->done->request, frame);
 		return;
 	case KWB__WIRE__FRAME__BODY_FOUND:
-		registry_post(&entry->registry, frame->found->request, frame);
+		registry_deliver(
+		    &entry->registry, frame->found->request, frame);
 		return;
 	case KWB__WIRE__FRAME__BODY_ORDER_REPLY:
-		registry_post(
+		registry_deliver(
 		    &entry->registry, frame->order_reply->request, frame);
 		return;
 	case KWB__WIRE__FRAME__BODY_HELLO:
-		peer_hello(entry, link, tag, frame->hello);
+		peer_handle_hello(entry, link, tag, frame->hello);
 		break;
 	case KWB__WIRE__FRAME__BODY_HEARTBEAT:
 		pthread_mutex_lock(&entry->peers.lock);
 		if (peer->link == link && frame->heartbeat->status != NULL)
-			peer_status(peer, frame->heartbeat->lists_revision,
+			peer_apply_status(peer,
+			    frame->heartbeat->lists_revision,
 			    frame->heartbeat->status);
 		pthread_mutex_unlock(&entry->peers.lock);
 		peer_send_lists(entry, link, tag);
 		break;
 	case KWB__WIRE__FRAME__BODY_LISTS:
-		if (kwb_current_offer((const char *)frame->lists->document.data,
+		if (kwb_current_lists_update(
+			(const char *)frame->lists->document.data,
 			frame->lists->document.len, frame->lists->revision) > 0)
 			peers_push_lists(entry);
 		break;
@@ -141,7 +144,7 @@
  * within what control may use. Called under the table's lock.
  */
 static uint64_t
-beat_period_ns(const struct peers *peers)
+heartbeat_period_ns(const struct peers *peers)
 {
 	uint64_t links = 0, period_ns = KWB_HEARTBEAT_NS;
 	unsigned i;
@@ -165,16 +168,16 @@
 
 	pthread_mutex_lock(&entry->peers.lock);
 	heartbeat.listed_leaving = peer->link == link && peer->listed_leaving;
-	period_ns = beat_period_ns(&entry->peers);
+	period_ns = heartbeat_period_ns(&entry->peers);
 	pthread_mutex_unlock(&entry->peers.lock);
-	heartbeat.lists_revision = kwb_current_revision();
+	heartbeat.lists_revision = kwb_current_lists_revision();
 	heartbeat.period_ms = (uint32_t)(period_ns / KWB_MS_NS);
 	kwb_link_send(&entry->loop, link, &frame);
 	kwb_link_pace(&entry->loop, link, period_ns);
 }
 
 static void
-peer_hello(struct kwb_entry *entry, uint64_t link, uint32_t tag,
+peer_handle_hello(struct kwb_entry *entry, uint64_t link, uint32_t tag,
     const Kwb__Wire__Hello *hello)
 {
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
@@ -186,13 +189,14 @@
 	    hello->protocol != KWB_PROTOCOL || strcmp(hello->vm, peer->vm) != 0;
 	if (peer->link == link && !wrong) {
 		if (peer->incarnation != hello->incarnation)
-			peer_forget(peer);
+			peer_clear_load(peer);
 		peer->greeted = true;
 		peer->incarnation = hello->incarnation;
 		peer->reconnect_delay_ns = 0;
 		peer->failures = 0;
 		if (hello->status != NULL)
-			peer_status(peer, hello->lists_revision, hello->status);
+			peer_apply_status(
+			    peer, hello->lists_revision, hello->status);
 		kwb_log(KWB_LOG_INFO, "member",
 		    "event=link_up vm=%s incarnation=%" PRIu64, peer->vm,
 		    peer->incarnation);
@@ -206,7 +210,7 @@
 
 /* What an earlier process on the VM held is not what this one holds. */
 static void
-peer_forget(struct peer *peer)
+peer_clear_load(struct peer *peer)
 {
 	unsigned i;
 
@@ -218,18 +222,18 @@
 }
 
 static void
-peer_status(
+peer_apply_status(
     struct peer *peer, uint64_t revision, const Kwb__Wire__Status *status)
 {
 	uint32_t busy = status->running + status->waiting;
 	size_t i;
 
-	peer_forget(peer);
+	peer_clear_load(peer);
 	peer->lists_revision = revision;
 	peer->leaving = status->leaving;
 	peer->upstream_up = status->upstream_up;
 	peer->slots = status->slots;
-	peer->others = others_of(busy, peer->own);
+	peer->others = load_of_others(busy, peer->own);
 	peer->models_count = 0;
 	for (i = 0; i < status->n_versions && i < KWB_MODELS_MAX; i++) {
 		struct peer_model *model = &peer->models[peer->models_count++];
@@ -241,18 +245,19 @@
 	}
 	for (i = 0; i < status->n_plans; i++) {
 		struct peer_plan *use =
-		    peer_plan_of(peer, status->plans[i]->plan);
+		    peer_plan_get(peer, status->plans[i]->plan);
 
 		if (use == NULL)
 			continue;
 		use->units = status->plans[i]->units;
-		use->others = others_of(status->plans[i]->running, use->own);
+		use->others =
+		    load_of_others(status->plans[i]->running, use->own);
 	}
 }
 
 /* Each answer brings the load along, fresher than the last status. */
 static void
-peer_load(struct kwb_entry *entry, uint64_t link, struct peer *peer,
+peer_apply_load(struct kwb_entry *entry, uint64_t link, struct peer *peer,
     const Kwb__Wire__Done *done)
 {
 	/* What was refused is counted here and not there. */
@@ -263,18 +268,18 @@
 	if (peer->link == link && done->leaving)
 		peer->leaving = true;
 	if (peer->link == link && done->plan[0] != '\0') {
-		peer->others = others_of(done->busy + refused, peer->own);
-		use = peer_plan_of(peer, done->plan);
+		peer->others = load_of_others(done->busy + refused, peer->own);
+		use = peer_plan_get(peer, done->plan);
 		if (use != NULL)
-			use->others =
-			    others_of(done->plan_running + refused, use->own);
+			use->others = load_of_others(
+			    done->plan_running + refused, use->own);
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
 }
 
 /* Requests of other entries among those an agent reports. */
 static uint32_t
-others_of(uint32_t reported, uint32_t own)
+load_of_others(uint32_t reported, uint32_t own)
 {
 	return reported > own ? reported - own : 0;
 }
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -9,19 +9,21 @@
 
 #include "peer.h"
 
-static bool peer_usable(const struct peer *peer, uint64_t now_ns);
-static struct peer *peer_slot(struct peers *peers, const struct kwb_vm *vm);
-static unsigned homes_in_demand(struct kwb_entry *entry,
+static bool peer_is_usable(const struct peer *peer, uint64_t now_ns);
+static struct peer *peer_find_or_add(
+    struct peers *peers, const struct kwb_vm *vm);
+static unsigned home_agents_in_demand(struct kwb_entry *entry,
     const struct kwb_vms *vms, uint32_t *chosen, unsigned chosen_max);
-static unsigned homes_of(struct kwb_entry *entry, const struct kwb_vms *vms,
-    const struct kwb_plan *plan, const struct kwb_allowance *allowance,
-    uint32_t *chosen, unsigned chosen_max);
-static void peer_settle(struct peer *peer, const struct kwb_vms *vms);
-static void peer_candidate(struct kwb_entry *entry, struct peer *peer,
+static unsigned plan_home_agents(struct kwb_entry *entry,
+    const struct kwb_vms *vms, const struct kwb_plan *plan,
+    const struct kwb_allowance *allowance, uint32_t *chosen,
+    unsigned chosen_max);
+static void peer_apply_listing(struct peer *peer, const struct kwb_vms *vms);
+static void peer_fill_candidate(struct kwb_entry *entry, struct peer *peer,
     const char *plan, const char *model, struct kwb_candidate *candidate);
-static const struct peer_model *model_of(
+static const struct peer_model *peer_find_model(
     const struct peer *peer, const char *model);
-static void target_take(struct peer *peer, int index, const char *plan,
+static void peer_reserve(struct peer *peer, int index, const char *plan,
     const char *model, struct target *target);
 
 void
@@ -50,11 +52,11 @@
 	target->peer = -1;
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		peer_candidate(
+		peer_fill_candidate(
 		    entry, &peers->peers[i], plan, model, &candidates[i]);
 	choice = kwb_route_pick(route, candidates, KWB_PEERS_MAX);
 	if (choice.index >= 0)
-		target_take(&peers->peers[choice.index], choice.index, plan,
+		peer_reserve(&peers->peers[choice.index], choice.index, plan,
 		    model, target);
 	pthread_mutex_unlock(&peers->lock);
 	if (choice.index < 0)
@@ -73,7 +75,7 @@
 
 /* Takes a place at one named peer, whatever its load. */
 int
-peers_target(struct kwb_entry *entry, const char *vm, const char *plan,
+peers_reserve(struct kwb_entry *entry, const char *vm, const char *plan,
     const char *model, struct target *target)
 {
 	struct peers *peers = &entry->peers;
@@ -86,7 +88,7 @@
 
 		if (strcmp(peer->vm, vm) != 0 || !peer->greeted)
 			continue;
-		target_take(peer, i, plan, model, target);
+		peer_reserve(peer, i, plan, model, target);
 		error = 0;
 	}
 	pthread_mutex_unlock(&peers->lock);
@@ -105,21 +107,22 @@
 	peer = &entry->peers.peers[target->peer];
 	pthread_mutex_lock(&entry->peers.lock);
 	if (strcmp(peer->vm, target->vm) == 0) {
-		use = peer_plan_of(peer, target->plan);
+		use = peer_plan_get(peer, target->plan);
 		if (use != NULL && use->own > 0)
 			use->own--;
 		if (peer->own > 0)
 			peer->own--;
 		if (error == KWB_ERR_CALL_BUSY)
-			peer->busy_ns = kwb_clock_now_ns() + KWB_BUSY_NS;
+			peer->busy_ns = kwb_clock_now_ns() + KWB_PEER_BUSY_NS;
 		if (error == KWB_ERR_CALL_UPSTREAM ||
 		    error == KWB_ERR_CALL_DEADLINE)
 			peer->failures++;
 		else if (error == 0)
 			peer->failures = 0;
-		if (peer->failures >= KWB_TRIP_FAILURES) {
+		if (peer->failures >= KWB_PEER_TRIP_FAILURES) {
 			peer->failures = 0;
-			peer->tripped_ns = kwb_clock_now_ns() + KWB_TRIP_NS;
+			peer->tripped_ns =
+			    kwb_clock_now_ns() + KWB_PEER_TRIP_NS;
 			kwb_log(KWB_LOG_WARN, "member", "event=trip vm=%s",
 			    peer->vm);
 		}
@@ -136,22 +139,23 @@
 	uint32_t chosen[2 * KWB_PEERS_MAX];
 	unsigned i, count;
 
-	count = kwb_subset(vms, entry->settings->vm,
+	count = kwb_subset_select(vms, entry->settings->vm,
 	    entry->settings->failure_domain, entry->settings->subset, chosen,
 	    KWB_PEERS_MAX);
-	count += homes_in_demand(
+	count += home_agents_in_demand(
 	    entry, vms, chosen + count, 2 * KWB_PEERS_MAX - count);
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		peers->peers[i].wanted = false;
 	for (i = 0; i < count; i++) {
-		struct peer *peer = peer_slot(peers, &vms->vms[chosen[i]]);
+		struct peer *peer =
+		    peer_find_or_add(peers, &vms->vms[chosen[i]]);
 
 		if (peer != NULL)
 			peer->wanted = true;
 	}
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		peer_settle(&peers->peers[i], vms);
+		peer_apply_listing(&peers->peers[i], vms);
 	pthread_mutex_unlock(&peers->lock);
 }
 
@@ -160,29 +164,29 @@
  * those whose weights are rolled out from here, in the domains led.
  */
 static unsigned
-homes_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
+home_agents_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
     uint32_t *chosen, unsigned chosen_max)
 {
-	const struct kwb_lists *lists = kwb_current_hold();
+	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	unsigned used = 0;
 	uint32_t i;
 
 	for (i = 0; lists != NULL && i < lists->plans_count; i++) {
 		const struct kwb_plan *plan = &lists->plans[i];
 		const struct kwb_allowance *allowance =
-		    kwb_lists_allowance(lists, plan->name);
+		    kwb_lists_find_allowance(lists, plan->name);
 
 		if (plan->kind != KWB_PLAN_TRAINING)
 			continue;
-		used += homes_of(entry, vms, plan, allowance, chosen + used,
-		    chosen_max - used);
+		used += plan_home_agents(entry, vms, plan, allowance,
+		    chosen + used, chosen_max - used);
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	return used;
 }
 
 static unsigned
-homes_of(struct kwb_entry *entry, const struct kwb_vms *vms,
+plan_home_agents(struct kwb_entry *entry, const struct kwb_vms *vms,
     const struct kwb_plan *plan, const struct kwb_allowance *allowance,
     uint32_t *chosen, unsigned chosen_max)
 {
@@ -192,7 +196,7 @@
 	    demand_ns != 0 && kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_NS;
 	unsigned i, used = 0, count;
 
-	count = kwb_home(vms, plan->pool, plan->name,
+	count = kwb_home_select(vms, plan->pool, plan->name,
 	    kwb_share_homes(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
@@ -205,7 +209,7 @@
 
 /* What the list says of a peer; one no longer wanted goes when it is idle. */
 static void
-peer_settle(struct peer *peer, const struct kwb_vms *vms)
+peer_apply_listing(struct peer *peer, const struct kwb_vms *vms)
 {
 	uint32_t i;
 
@@ -302,9 +306,9 @@
 		struct peer *peer = &peers->peers[i];
 		struct peer_plan *use;
 
-		if (i == except || !peer_usable(peer, now_ns))
+		if (i == except || !peer_is_usable(peer, now_ns))
 			continue;
-		use = peer_plan_of(peer, plan);
+		use = peer_plan_get(peer, plan);
 		if (use != NULL && use->own + use->others < use->units &&
 		    peer->own + peer->others < peer->slots)
 			idle += use->units - use->own - use->others;
@@ -314,7 +318,7 @@
 }
 
 void
-peers_print(struct kwb_entry *entry, struct kwb_buf *out)
+peers_print_json(struct kwb_entry *entry, struct kwb_buf *out)
 {
 	struct peers *peers = &entry->peers;
 	unsigned i, j, printed = 0;
@@ -350,7 +354,7 @@
 }
 
 static bool
-peer_usable(const struct peer *peer, uint64_t now_ns)
+peer_is_usable(const struct peer *peer, uint64_t now_ns)
 {
 	return peer->greeted && peer->upstream_up && !peer->leaving &&
 	    !peer->listed_leaving && now_ns >= peer->tripped_ns &&
@@ -359,7 +363,7 @@
 
 /* The slot of a VM, taken on first sight; a moved VM gets a new link. */
 static struct peer *
-peer_slot(struct peers *peers, const struct kwb_vm *vm)
+peer_find_or_add(struct peers *peers, const struct kwb_vm *vm)
 {
 	struct peer *peer, *open = NULL;
 	unsigned i;
@@ -386,17 +390,17 @@
 }
 
 static void
-peer_candidate(struct kwb_entry *entry, struct peer *peer, const char *plan,
-    const char *model, struct kwb_candidate *candidate)
+peer_fill_candidate(struct kwb_entry *entry, struct peer *peer,
+    const char *plan, const char *model, struct kwb_candidate *candidate)
 {
-	const struct peer_model *state = model_of(peer, model);
+	const struct peer_model *state = peer_find_model(peer, model);
 	const struct peer_plan *use;
 
 	memset(candidate, 0, sizeof(*candidate));
 	candidate->vm = peer->vm;
-	if (peer->vm[0] == '\0' || !peer_usable(peer, kwb_clock_now_ns()))
+	if (peer->vm[0] == '\0' || !peer_is_usable(peer, kwb_clock_now_ns()))
 		return;
-	use = peer_plan_of(peer, plan);
+	use = peer_plan_get(peer, plan);
 	if (use == NULL || (model != NULL && state == NULL))
 		return;
 	candidate->usable = use->units > 0;
@@ -413,7 +417,7 @@
 }
 
 struct peer_plan *
-peer_plan_of(struct peer *peer, const char *plan)
+peer_plan_get(struct peer *peer, const char *plan)
 {
 	struct peer_plan *use;
 	unsigned i;
@@ -430,7 +434,7 @@
 }
 
 static const struct peer_model *
-model_of(const struct peer *peer, const char *model)
+peer_find_model(const struct peer *peer, const char *model)
 {
 	unsigned i;
 
@@ -441,11 +445,11 @@
 }
 
 static void
-target_take(struct peer *peer, int index, const char *plan, const char *model,
+peer_reserve(struct peer *peer, int index, const char *plan, const char *model,
     struct target *target)
 {
-	const struct peer_model *state = model_of(peer, model);
-	struct peer_plan *use = peer_plan_of(peer, plan);
+	const struct peer_model *state = peer_find_model(peer, model);
+	struct peer_plan *use = peer_plan_get(peer, plan);
 
 	target->peer = index;
 	target->link = peer->link;
--- a/src/member/subset.c
+++ b/src/member/subset.c
@@ -12,7 +12,7 @@
 #include "kwb.h"
 
 /* An agent of the list with its rendezvous score. */
-struct scored {
+struct scored_agent {
 	const struct kwb_vm *vm;
 	uint32_t index;
 	uint64_t score;
@@ -20,12 +20,12 @@
 };
 
 static unsigned score_agents(const struct kwb_vms *vms, const char *pool,
-    uint64_t seed, struct scored *agents);
-static int by_pool_and_score(const void *a, const void *b);
-static unsigned pool_subset(struct scored *agents, unsigned count,
+    uint64_t seed, struct scored_agent *agents);
+static int compare_by_pool_and_score(const void *a, const void *b);
+static unsigned select_in_pool(struct scored_agent *agents, unsigned count,
     const char *failure_domain, unsigned wanted, uint32_t *chosen);
-static bool domain_taken(
-    const struct scored *agents, unsigned count, const char *failure_domain);
+static bool domain_is_taken(const struct scored_agent *agents, unsigned count,
+    const char *failure_domain);
 
 uint64_t
 kwb_hash(const char *text, uint64_t seed)
@@ -34,11 +34,11 @@
 }
 
 unsigned
-kwb_subset(const struct kwb_vms *vms, const char *self,
+kwb_subset_select(const struct kwb_vms *vms, const char *self,
     const char *failure_domain, unsigned wanted, uint32_t *chosen,
     unsigned chosen_max)
 {
-	struct scored *agents = calloc(vms->count + 1, sizeof(*agents));
+	struct scored_agent *agents = calloc(vms->count + 1, sizeof(*agents));
 	unsigned count, first, end, room, used = 0;
 
 	if (agents == NULL)
@@ -50,18 +50,19 @@
 		     end++)
 			continue;
 		room = chosen_max - used;
-		used += pool_subset(agents + first, end - first, failure_domain,
-		    wanted < room ? wanted : room, chosen + used);
+		used +=
+		    select_in_pool(agents + first, end - first, failure_domain,
+			wanted < room ? wanted : room, chosen + used);
 	}
 	free(agents);
 	return used;
 }
 
 unsigned
-kwb_home(const struct kwb_vms *vms, const char *pool, const char *plan,
+kwb_home_select(const struct kwb_vms *vms, const char *pool, const char *plan,
     unsigned wanted, uint32_t *chosen, unsigned chosen_max)
 {
-	struct scored *agents = calloc(vms->count + 1, sizeof(*agents));
+	struct scored_agent *agents = calloc(vms->count + 1, sizeof(*agents));
 	unsigned i, count;
 
 	if (agents == NULL)
@@ -76,7 +77,7 @@
 /* The agents of one pool or of all, by pool and falling score. */
 static unsigned
 score_agents(const struct kwb_vms *vms, const char *pool, uint64_t seed,
-    struct scored *agents)
+    struct scored_agent *agents)
 {
 	unsigned count = 0;
 	uint32_t i;
@@ -92,14 +93,14 @@
 		agents[count].score = kwb_hash(vm->vm, seed);
 		count++;
 	}
-	qsort(agents, count, sizeof(*agents), by_pool_and_score);
+	qsort(agents, count, sizeof(*agents), compare_by_pool_and_score);
 	return count;
 }
 
 static int
-by_pool_and_score(const void *a, const void *b)
+compare_by_pool_and_score(const void *a, const void *b)
 {
-	const struct scored *left = a, *right = b;
+	const struct scored_agent *left = a, *right = b;
 	int order = strcmp(left->vm->pool, right->vm->pool);
 
 	if (order != 0)
@@ -110,8 +111,8 @@
 }
 
 static unsigned
-pool_subset(struct scored *agents, unsigned count, const char *failure_domain,
-    unsigned wanted, uint32_t *chosen)
+select_in_pool(struct scored_agent *agents, unsigned count,
+    const char *failure_domain, unsigned wanted, uint32_t *chosen)
 {
 	unsigned i, pass, used = 0;
 
@@ -121,7 +122,7 @@
 			bool near = strcmp(domain, failure_domain) == 0;
 
 			if (agents[i].taken || (pass == 1 && !near) ||
-			    (pass == 0 && domain_taken(agents, i, domain)))
+			    (pass == 0 && domain_is_taken(agents, i, domain)))
 				continue;
 			agents[i].taken = true;
 			chosen[used++] = agents[i].index;
@@ -131,8 +132,8 @@
 }
 
 static bool
-domain_taken(
-    const struct scored *agents, unsigned count, const char *failure_domain)
+domain_is_taken(const struct scored_agent *agents, unsigned count,
+    const char *failure_domain)
 {
 	unsigned i;
 
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -89,7 +89,7 @@
 		step->refill = event == NULL;
 		for (; event != NULL; event = inbox_wait(&step->inbox, 0)) {
 			step_event(step, event);
-			event_free(event);
+			inbox_event_free(event);
 		}
 		if (kwb_clock_now_ns() < hedge_ns)
 			continue;
@@ -169,7 +169,7 @@
 	    offsetof(struct sample, generation));
 	before = generation->tokens.count;
 	before_ns = generation->token_ns;
-	generation_event(step->entry, generation, event);
+	generation_handle_event(step->entry, generation, event);
 	if (generation->tokens.count > before + 1) {
 		passed_ns = (generation->token_ns - before_ns) /
 		    (generation->tokens.count - before);
@@ -209,7 +209,7 @@
 	kwb_log(KWB_LOG_INFO, "rollout",
 	    "event=made_again key=%s oldest=%" PRIu64 " trainer=%" PRIu64
 	    " bound=%u",
-	    generation->key, kwb_tokens_oldest(&generation->tokens),
+	    generation->key, kwb_tokens_oldest_version(&generation->tokens),
 	    step->trainer_version, step->bound_versions);
 	kwb_tokens_finish(&generation->tokens);
 	kwb_tokens_init(&generation->tokens);
@@ -225,7 +225,7 @@
 	struct kwb_sample_age age = {
 	    .trainer_version =
 		named > step->trainer_version ? named : step->trainer_version,
-	    .oldest_version = kwb_tokens_oldest(tokens),
+	    .oldest_version = kwb_tokens_oldest_version(tokens),
 	    .bound_versions = step->bound_versions,
 	};
 	uint32_t i;
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -27,12 +27,12 @@
 	const struct kwb_plan *found;
 	json_t *value;
 
-	found = kwb_lists_plan(kwb_current_hold(), plan);
+	found = kwb_lists_find_plan(kwb_current_lists_read_lock(), plan);
 	if (found != NULL)
 		step->plan = *found;
 	step->plan.rules = NULL;
 	step->plan.rules_count = 0;
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	if (found == NULL || step->plan.kind != KWB_PLAN_TRAINING) {
 		*fault = "no such training plan";
 		return KWB_ERR_ARGUMENT;
@@ -91,7 +91,7 @@
 	find.step = step->number;
 	find.attempt = step->attempt;
 	for (i = 0; i < count; i++) {
-		requests[i] = registry_open(
+		requests[i] = registry_open_request(
 		    &entry->registry, &step->inbox, targets[i].link, NULL);
 		find.request = requests[i];
 		kwb_link_send(&entry->loop, targets[i].link, &frame);
@@ -108,10 +108,10 @@
 				found_take(
 				    step, &targets[i], event->frame->found);
 		}
-		event_free(event);
+		inbox_event_free(event);
 	}
 	for (i = 0; i < count; i++)
-		registry_close(&entry->registry, requests[i]);
+		registry_close_request(&entry->registry, requests[i]);
 	free(targets);
 }
 
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -84,12 +84,12 @@
 
 	if (leader == NULL)
 		return NULL;
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	leader->entry = entry;
 	inbox_init(&leader->inbox);
 	while (
 	    !atomic_load(&entry->stopping) && !atomic_load(&entry->draining)) {
-		known = kwb_current_revision();
+		known = kwb_current_lists_revision();
 		now_changes = atomic_load(&entry->vms_changes);
 		if (known != revision || now_changes != changes)
 			leads_update(leader);
@@ -113,7 +113,7 @@
 		    inbox_wait(&leader->inbox, kwb_clock_now_ns() + LOOP_NS);
 		for (; event != NULL; event = inbox_wait(&leader->inbox, 0)) {
 			order_event(leader, event);
-			event_free(event);
+			inbox_event_free(event);
 		}
 	}
 	for (i = 0; i < leader->leads_count; i++) {
@@ -128,7 +128,7 @@
 	}
 	inbox_finish(&leader->inbox);
 	free(leader);
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
@@ -143,7 +143,7 @@
 	for (i = 0; i < leader->leads_count; i++)
 		leader->leads[i]->wanted = false;
 	pthread_mutex_lock(&entry->vms_lock);
-	lists = kwb_current_hold();
+	lists = kwb_current_lists_read_lock();
 	for (i = 0; lists != NULL && i < lists->plans_count; i++) {
 		const struct kwb_plan *plan = &lists->plans[i];
 
@@ -155,7 +155,7 @@
 				lead_want(leader, plan,
 				    entry->vms->vms[j].failure_domain);
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	pthread_mutex_unlock(&entry->vms_lock);
 }
 
@@ -223,7 +223,7 @@
 		lead->try_ns = now_ns + TRY_NS;
 		return;
 	}
-	error = kwb_lease_try(&lead->lease, &entry->platform);
+	error = kwb_lease_acquire(&lead->lease, &entry->platform);
 	if (error == 0 && !lead->leads)
 		kwb_log(KWB_LOG_INFO, "weights",
 		    "event=lead plan=%s failure_domain=%s token=%" PRIu64,
@@ -348,8 +348,8 @@
 			order = &lead->orders[i];
 	if (order == NULL)
 		return;
-	order->request =
-	    registry_open(&entry->registry, &leader->inbox, target->link, lead);
+	order->request = registry_open_request(
+	    &entry->registry, &leader->inbox, target->link, lead);
 	order->deadline_ns =
 	    kwb_clock_now_ns() + KWB_SWAP_TIMEOUT_MS * KWB_MS_NS;
 	kwb_text_copy(order->vm, sizeof(order->vm), target->vm);
@@ -399,7 +399,8 @@
 order_close(struct leader *leader, struct order_open *order)
 {
 	if (order->request != 0)
-		registry_close(&leader->entry->registry, order->request);
+		registry_close_request(
+		    &leader->entry->registry, order->request);
 	order->request = 0;
 }
 
--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -45,7 +45,7 @@
 	struct kwb_agent *agent = argument;
 	struct order *order;
 
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	while ((order = order_next(agent)) != NULL) {
 		const Kwb__Wire__Order *wanted = order->frame->order;
 		Kwb__Wire__OrderReply reply = KWB__WIRE__ORDER_REPLY__INIT;
@@ -64,7 +64,7 @@
 		kwb_frame_free(order->frame);
 		free(order);
 	}
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
@@ -148,7 +148,7 @@
 		return 0;
 	snprintf(name, sizeof(name), "leases/weights/%s/%s", fence->plan,
 	    agent->settings->failure_domain);
-	if (kwb_lease_token(&agent->platform, name, &token) != 0)
+	if (kwb_lease_read_token(&agent->platform, name, &token) != 0)
 		return KWB_ERR_WEIGHTS_UNKNOWN;
 	fence->known = true;
 	fence->token = token;
--- a/src/wire/link.c
+++ b/src/wire/link.c
@@ -206,7 +206,7 @@
 	uint64_t tick_ns = 0;
 	int i, count;
 
-	kwb_current_thread_init();
+	kwb_current_lists_register_thread();
 	while (!loop->stopping) {
 		count = epoll_wait(loop->epoll_fd, events, EVENTS_MAX, TICK_MS);
 		for (i = 0; i < count; i++) {
@@ -221,7 +221,7 @@
 		tick_ns = kwb_clock_now_ns() + TICK_MS * KWB_MS_NS;
 		loop_tick(loop);
 	}
-	kwb_current_thread_finish();
+	kwb_current_lists_unregister_thread();
 	return NULL;
 }
 
--- a/tests/contract.c
+++ b/tests/contract.c
@@ -114,7 +114,8 @@
 	    {"of an earlier incarnation nothing is known", "k5", true, 0, 1, 0,
 		KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_INCARNATION},
 	    {"a key from long ago may have been forgotten", "k6", false, 0, 0,
-		KWB_JOB_KEEP_MS, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_FORGOTTEN},
+		KWB_JOB_RETENTION_MS, KWB_OUTCOME_UNKNOWN,
+		KWB_ERR_CALL_FORGOTTEN},
 	    {"no key is malformed", "", false, 0, 0, 0, KWB_OUTCOME_NOT_RUN,
 		KWB_ERR_ARGUMENT},
 	};
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -319,7 +319,7 @@
 		strcpy(vms.vms[i].role, "agent");
 		strcpy(vms.vms[i].pool, "llm");
 	}
-	count = kwb_subset(&vms, "entry-1", "fd-3", 16, chosen, 64);
+	count = kwb_subset_select(&vms, "entry-1", "fd-3", 16, chosen, 64);
 	CU_ASSERT_EQUAL(count, 16);
 	for (i = 0; i < count; i++) {
 		near += chosen[i] % 5 == 3;
@@ -328,10 +328,13 @@
 	CU_ASSERT_EQUAL(near, 12);
 	for (i = 0; i < 5; i++)
 		CU_ASSERT(seen[i]);
-	CU_ASSERT_EQUAL(kwb_subset(&vms, "entry-1", "fd-3", 16, again, 64), 16);
+	CU_ASSERT_EQUAL(
+	    kwb_subset_select(&vms, "entry-1", "fd-3", 16, again, 64), 16);
 	CU_ASSERT_EQUAL(memcmp(chosen, again, 16 * sizeof(*chosen)), 0);
-	CU_ASSERT_EQUAL(kwb_home(&vms, "llm", "quotes", 8, chosen, 64), 8);
-	CU_ASSERT_EQUAL(kwb_home(&vms, "shop", "quotes", 8, chosen, 64), 0);
+	CU_ASSERT_EQUAL(
+	    kwb_home_select(&vms, "llm", "quotes", 8, chosen, 64), 8);
+	CU_ASSERT_EQUAL(
+	    kwb_home_select(&vms, "shop", "quotes", 8, chosen, 64), 0);
 }
 
 /* Two entries that start at the same moment never make the same key. */
@@ -346,9 +349,9 @@
 	unsigned i;
 
 	for (i = 0; i < 2; i++) {
-		kwb_key_call(
+		kwb_call_key_print(
 		    calls[i], sizeof(calls[i]), &origins[i], "orders", 7);
-		kwb_key_start(
+		kwb_generation_key_print(
 		    starts[i], sizeof(starts[i]), &origins[i], "s/quotes/1", 1);
 	}
 	CU_ASSERT_STRING_NOT_EQUAL(calls[0], calls[1]);
@@ -356,8 +359,9 @@
 	/* Names of full length leave room for the number. */
 	memset(name, 'n', sizeof(name) - 1);
 	name[sizeof(name) - 1] = '\0';
-	kwb_key_call(calls[0], sizeof(calls[0]), &longest, name, UINT64_MAX);
-	kwb_key_call(
+	kwb_call_key_print(
+	    calls[0], sizeof(calls[0]), &longest, name, UINT64_MAX);
+	kwb_call_key_print(
 	    calls[1], sizeof(calls[1]), &longest, name, UINT64_MAX - 1);
 	CU_ASSERT_STRING_NOT_EQUAL(calls[0], calls[1]);
 }
@@ -468,7 +472,7 @@
 static struct kwb_lists *
 lists_of(const char *text)
 {
-	struct kwb_source source = {"lists.yaml", text};
+	struct kwb_lists_source source = {"lists.yaml", text};
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists = NULL;
 
@@ -504,7 +508,7 @@
 	    "requests",
 	    "lists.yaml:14: allowances[1].plan: refers to no plan",
 	};
-	struct kwb_source source = {"lists.yaml", text};
+	struct kwb_lists_source source = {"lists.yaml", text};
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists = lists_of(text);
 	size_t i;
@@ -517,7 +521,7 @@
 			fprintf(stderr, "lists: %s\n", faults.text[i]);
 		CU_ASSERT_STRING_EQUAL(faults.text[i], expected[i]);
 	}
-	kwb_lists_unload(lists);
+	kwb_lists_free(lists);
 }
 
 static void
@@ -538,14 +542,14 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		struct kwb_source source = {"f", cases[i].text};
+		struct kwb_lists_source source = {"f", cases[i].text};
 		struct kwb_faults faults = {0};
 		struct kwb_lists *lists;
 
 		CU_ASSERT_EQUAL(kwb_lists_parse(&lists, &source, &faults),
 		    KWB_ERR_LISTS_INVALID);
 		CU_ASSERT(faults.count >= 1);
-		kwb_lists_unload(lists);
+		kwb_lists_free(lists);
 		if (strncmp(faults.text[0], cases[i].fault,
 			strlen(cases[i].fault)) != 0)
 			fprintf(stderr, "lists: %s", faults.text[0]);
@@ -571,8 +575,8 @@
 	CU_ASSERT_EQUAL(kwb_lists_diff(lists, again, &diff), 1);
 	kwb_buf_finish(&text);
 	kwb_buf_finish(&diff);
-	kwb_lists_unload(lists);
-	kwb_lists_unload(again);
+	kwb_lists_free(lists);
+	kwb_lists_free(again);
 }
 
 static void
@@ -588,9 +592,9 @@
 	ours->allowances[1].queue = 60;
 	CU_ASSERT_EQUAL_FATAL(
 	    kwb_lists_merge(&merged, base, theirs, ours, &conflicts), 0);
-	CU_ASSERT_EQUAL(kwb_lists_allowance(merged, "quotes")->queue, 50);
-	CU_ASSERT_EQUAL(kwb_lists_allowance(merged, "orders")->queue, 60);
-	kwb_lists_unload(merged);
+	CU_ASSERT_EQUAL(kwb_lists_find_allowance(merged, "quotes")->queue, 50);
+	CU_ASSERT_EQUAL(kwb_lists_find_allowance(merged, "orders")->queue, 60);
+	kwb_lists_free(merged);
 	ours->allowances[0].queue = 70;
 	CU_ASSERT_EQUAL(
 	    kwb_lists_merge(&merged, base, theirs, ours, &conflicts),
@@ -598,9 +602,9 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(conflicts.data, "queue=50"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(conflicts.data, "queue=70"));
 	kwb_buf_finish(&conflicts);
-	kwb_lists_unload(base);
-	kwb_lists_unload(theirs);
-	kwb_lists_unload(ours);
+	kwb_lists_free(base);
+	kwb_lists_free(theirs);
+	kwb_lists_free(ours);
 }
 
 /* The revision in force only rises. */
@@ -614,21 +618,23 @@
 	} cases[] = {{3, 1, 3}, {2, 0, 3}, {3, 0, 3}, {9, 1, 9}, {8, 0, 9}};
 	size_t i;
 
-	kwb_current_init();
-	kwb_current_thread_init();
+	kwb_current_lists_init();
+	kwb_current_lists_register_thread();
 	for (i = 0; i < COUNT(cases); i++) {
-		CU_ASSERT_EQUAL(kwb_current_offer(good_lists,
+		CU_ASSERT_EQUAL(kwb_current_lists_update(good_lists,
 				    strlen(good_lists), cases[i].offered),
 		    cases[i].taken);
-		CU_ASSERT_EQUAL(kwb_current_revision(), cases[i].in_force);
+		CU_ASSERT_EQUAL(
+		    kwb_current_lists_revision(), cases[i].in_force);
 	}
 	CU_ASSERT_EQUAL(
-	    kwb_current_offer("plans: 1", 8, 99), KWB_ERR_LISTS_INVALID);
-	CU_ASSERT_EQUAL(kwb_current_revision(), 9);
-	CU_ASSERT_PTR_NOT_NULL(kwb_lists_plan(kwb_current_hold(), "orders"));
-	kwb_current_drop();
-	kwb_current_thread_finish();
-	kwb_current_finish();
+	    kwb_current_lists_update("plans: 1", 8, 99), KWB_ERR_LISTS_INVALID);
+	CU_ASSERT_EQUAL(kwb_current_lists_revision(), 9);
+	CU_ASSERT_PTR_NOT_NULL(
+	    kwb_lists_find_plan(kwb_current_lists_read_lock(), "orders"));
+	kwb_current_lists_read_unlock();
+	kwb_current_lists_unregister_thread();
+	kwb_current_lists_finish();
 }
 
 static void
--- a/tests/world.c
+++ b/tests/world.c
@@ -288,7 +288,7 @@
 world_settled(struct world *world, uint32_t timeout_ms)
 {
 	uint64_t deadline_ns = kwb_clock_now_ns() + timeout_ms * KWB_MS_NS;
-	struct kwb_source source = {"lists", world->shape.lists};
+	struct kwb_lists_source source = {"lists", world->shape.lists};
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists;
 	json_t *wanted = json_object();
@@ -302,7 +302,7 @@
 	for (i = 0; i < lists->allowances_count; i++)
 		json_object_set_new(wanted, lists->allowances[i].plan,
 		    json_integer(lists->allowances[i].concurrent));
-	kwb_lists_unload(lists);
+	kwb_lists_free(lists);
 	while (!settled && kwb_clock_now_ns() < deadline_ns) {
 		settled = units_settled(world, wanted);
 		if (!settled)
