--- a/include/kwb.h
+++ b/include/kwb.h
@@ -592,7 +592,7 @@
 
 struct kwb_tokens {
 	uint32_t count;
-	uint32_t room;
+	uint32_t capacity;
 	char **text;
 	uint64_t *version; /* of each token */
 };
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -48,7 +48,7 @@
 	    .answer = answer,
 	    .outcome_deadline_ns = call->deadline_ns + OUTCOME_WAIT_NS,
 	};
-	bool sent_before = false, full;
+	bool is_retry = false, was_full;
 
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
@@ -56,13 +56,13 @@
 	kwb_budget_try(&gate->budget);
 	do {
 		/* Where all was full nothing was tried, so nothing is spent. */
-		full = answer->error == KWB_ERR_ROUTE_FULL ||
+		was_full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
-		if (sent_before && !full && !kwb_budget_retry(&gate->budget))
+		if (is_retry && !was_full && !kwb_budget_retry(&gate->budget))
 			break;
-		if (sent_before)
+		if (is_retry)
 			kwb_clock_sleep_ns(RETRY_DELAY_NS);
-		sent_before = true;
+		is_retry = true;
 	} while (call_attempt(&dispatch) == ACTION_RETRY &&
 	    kwb_clock_now_ns() < call->deadline_ns);
 	if (call->pinned && answer->outcome == KWB_OUTCOME_NOT_RUN &&
@@ -178,17 +178,17 @@
 	    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_DEADLINE);
 	while ((event = inbox_wait(
 		    &dispatch->inbox, dispatch->outcome_deadline_ns)) != NULL) {
-		bool ours = event->request == dispatch->request;
-		bool lost = event->kind == EVENT_LINK_LOST;
+		bool is_own = event->request == dispatch->request;
+		bool link_lost = event->kind == EVENT_LINK_LOST;
 
-		if (ours && !lost &&
+		if (is_own && !link_lost &&
 		    event->frame->body_case == KWB__WIRE__FRAME__BODY_DONE) {
 			apply_done(dispatch, event->frame->done);
 			inbox_event_free(event);
 			return;
 		}
 		inbox_event_free(event);
-		if (!ours || !lost)
+		if (!is_own || !link_lost)
 			continue;
 		answer_set(
 		    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_WIRE_CLOSED);
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -151,14 +151,14 @@
 job_attach(
     struct job *job, uint64_t link, uint64_t request, uint32_t sent_tokens)
 {
-	struct attachment *to;
+	struct attachment *attachment;
 
 	if (job->attached == KWB_JOB_ATTACHMENTS_MAX)
 		return false;
-	to = &job->attachments[job->attached++];
-	to->link = link;
-	to->request = request;
-	to->sent_tokens = sent_tokens;
+	attachment = &job->attachments[job->attached++];
+	attachment->link = link;
+	attachment->request = request;
+	attachment->sent_tokens = sent_tokens;
 	job->orphan_ns = 0;
 	return true;
 }
@@ -167,18 +167,18 @@
 bool
 job_detach(struct job *job, uint64_t link, uint64_t request)
 {
-	struct attachment *at;
+	struct attachment *attachment;
 	unsigned i = 0;
 	bool found = false;
 
 	while (i < job->attached) {
-		at = &job->attachments[i];
-		if (at->link != link ||
-		    (request != 0 && at->request != request)) {
+		attachment = &job->attachments[i];
+		if (attachment->link != link ||
+		    (request != 0 && attachment->request != request)) {
 			i++;
 			continue;
 		}
-		*at = job->attachments[--job->attached];
+		*attachment = job->attachments[--job->attached];
 		found = true;
 	}
 	if (found && job->attached == 0)
--- a/src/call/tokens.c
+++ b/src/call/tokens.c
@@ -29,20 +29,21 @@
 int
 kwb_tokens_add(struct kwb_tokens *tokens, const char *text, uint64_t version)
 {
-	uint32_t room = tokens->room ? tokens->room * 2 : INITIAL_CAPACITY;
+	uint32_t capacity =
+	    tokens->capacity ? tokens->capacity * 2 : INITIAL_CAPACITY;
 	void *grown;
 
-	if (tokens->count == tokens->room) {
-		grown = realloc(tokens->text, room * sizeof(*tokens->text));
+	if (tokens->count == tokens->capacity) {
+		grown = realloc(tokens->text, capacity * sizeof(*tokens->text));
 		if (grown == NULL)
 			return KWB_ERR_MEMORY;
 		tokens->text = grown;
-		grown =
-		    realloc(tokens->version, room * sizeof(*tokens->version));
+		grown = realloc(
+		    tokens->version, capacity * sizeof(*tokens->version));
 		if (grown == NULL)
 			return KWB_ERR_MEMORY;
 		tokens->version = grown;
-		tokens->room = room;
+		tokens->capacity = capacity;
 	}
 	tokens->text[tokens->count] = strdup(text);
 	if (tokens->text[tokens->count] == NULL)
--- a/src/lists/check.c
+++ b/src/lists/check.c
@@ -29,7 +29,7 @@
 static void check_rules(
     const struct check *check, const struct kwb_plan *plan, uint32_t index);
 static void add_fault(const struct check *check, const char *list,
-    uint32_t index, const char *field, const char *what);
+    uint32_t index, const char *field, const char *message);
 static int field_line(
     const char *text, const char *list, uint32_t index, const char *field);
 static bool line_has_field(const char *line, const char *field);
@@ -134,20 +134,20 @@
 
 static void
 add_fault(const struct check *check, const char *list, uint32_t index,
-    const char *field, const char *what)
+    const char *field, const char *message)
 {
-	char where[LOCATION_MAX_BYTES] = "lists";
+	char location[LOCATION_MAX_BYTES] = "lists";
 	unsigned i;
 	int line;
 
 	for (i = 0; i < check->sources_count; i++) {
 		line = field_line(check->sources[i].text, list, index, field);
 		if (line > 0)
-			snprintf(where, sizeof(where), "%s:%d",
+			snprintf(location, sizeof(location), "%s:%d",
 			    check->sources[i].file, line);
 	}
-	kwb_faults_add(check->faults, "%s: %s[%u].%s: %s", where, list, index,
-	    field, what);
+	kwb_faults_add(check->faults, "%s: %s[%u].%s: %s", location, list,
+	    index, field, message);
 }
 
 /*
@@ -159,10 +159,10 @@
     const char *text, const char *list, uint32_t index, const char *field)
 {
 	size_t list_length = strlen(list);
-	bool inside = false;
+	bool is_inside = false;
 	int line = 0, item_line = 0;
 	size_t item_indent = SIZE_MAX;
-	uint32_t items = 0;
+	uint32_t items_seen = 0;
 
 	for (; *text != '\0';
 	     text += strcspn(text, "\n"), text += *text == '\n') {
@@ -171,18 +171,18 @@
 
 		line++;
 		if (indent == 0 && isalpha((unsigned char)*word))
-			inside = strncmp(word, list, list_length) == 0 &&
+			is_inside = strncmp(word, list, list_length) == 0 &&
 			    word[list_length] == ':';
-		if (!inside)
+		if (!is_inside)
 			continue;
 		if (word[0] == '-' && word[1] == ' ') {
 			if (item_indent == SIZE_MAX)
 				item_indent = indent;
-			if (indent == item_indent && items++ == index)
+			if (indent == item_indent && items_seen++ == index)
 				item_line = line;
 			word += 1 + strspn(word + 1, " ");
 		}
-		if (items == index + 1 && line_has_field(word, field))
+		if (items_seen == index + 1 && line_has_field(word, field))
 			return line;
 	}
 	return item_line;
@@ -193,13 +193,13 @@
 line_has_field(const char *line, const char *field)
 {
 	size_t length = strlen(field), end = strcspn(line, "\n");
-	const char *at = line;
+	const char *match = line;
 
-	while ((at = strstr(at, field)) != NULL && at < line + end) {
-		if (at[length] == ':' &&
-		    (at == line || at[-1] == ' ' || at[-1] == '{'))
+	while ((match = strstr(match, field)) != NULL && match < line + end) {
+		if (match[length] == ':' &&
+		    (match == line || match[-1] == ' ' || match[-1] == '{'))
 			return true;
-		at += length;
+		match += length;
 	}
 	return false;
 }
--- a/src/lists/current.c
+++ b/src/lists/current.c
@@ -10,16 +10,16 @@
 
 #include "kwb.h"
 
-struct current {
+struct snapshot {
 	struct kwb_lists *lists;
 	char *text;
 	size_t length_bytes;
 };
 
-static struct current *current;
+static struct snapshot *current;
 static pthread_mutex_t update_lock = PTHREAD_MUTEX_INITIALIZER;
 
-static void current_free(struct current *old);
+static void snapshot_free(struct snapshot *discarded);
 
 int
 kwb_current_lists_init(void)
@@ -31,11 +31,11 @@
 void
 kwb_current_lists_finish(void)
 {
-	struct current *old = current;
+	struct snapshot *discarded = current;
 
 	rcu_set_pointer(&current, NULL);
 	urcu_memb_synchronize_rcu();
-	current_free(old);
+	snapshot_free(discarded);
 }
 
 void
@@ -56,41 +56,41 @@
 {
 	struct kwb_faults faults = {0};
 	struct kwb_lists_source source = {"platform", NULL};
-	struct current *fresh, *old = NULL;
-	int taken = 0;
+	struct snapshot *candidate, *discarded = NULL;
+	int result = 0;
 
-	fresh = calloc(1, sizeof(*fresh));
-	if (fresh == NULL)
+	candidate = calloc(1, sizeof(*candidate));
+	if (candidate == NULL)
 		return KWB_ERR_MEMORY;
-	fresh->text = strndup(text, length_bytes);
-	fresh->length_bytes = length_bytes;
-	source.text = fresh->text;
+	candidate->text = strndup(text, length_bytes);
+	candidate->length_bytes = length_bytes;
+	source.text = candidate->text;
 	pthread_mutex_lock(&update_lock);
 	if (current != NULL && current->lists->revision >= revision) {
-		old = fresh;
-	} else if (fresh->text == NULL ||
-	    kwb_lists_parse(&fresh->lists, &source, &faults) != 0 ||
-	    kwb_lists_check(fresh->lists, NULL, 0, &faults) != 0) {
-		old = fresh;
-		taken = KWB_ERR_LISTS_INVALID;
+		discarded = candidate;
+	} else if (candidate->text == NULL ||
+	    kwb_lists_parse(&candidate->lists, &source, &faults) != 0 ||
+	    kwb_lists_check(candidate->lists, NULL, 0, &faults) != 0) {
+		discarded = candidate;
+		result = KWB_ERR_LISTS_INVALID;
 	} else {
-		fresh->lists->revision = revision;
-		old = rcu_xchg_pointer(&current, fresh);
+		candidate->lists->revision = revision;
+		discarded = rcu_xchg_pointer(&current, candidate);
 		kwb_metric_set(KWB_METRIC_LISTS_REVISION, revision);
-		taken = 1;
+		result = 1;
 	}
 	pthread_mutex_unlock(&update_lock);
-	if (old != NULL)
+	if (discarded != NULL)
 		urcu_memb_synchronize_rcu();
-	current_free(old);
-	if (taken < 0)
+	snapshot_free(discarded);
+	if (result < 0)
 		kwb_log(KWB_LOG_ERROR, "lists",
 		    "event=rejected revision=%llu fault=\"%s\"",
 		    (unsigned long long)revision, faults.text[0]);
-	if (taken > 0)
+	if (result > 0)
 		kwb_log(KWB_LOG_INFO, "lists", "event=in_force revision=%llu",
 		    (unsigned long long)revision);
-	return taken;
+	return result;
 }
 
 uint64_t
@@ -102,11 +102,11 @@
 const struct kwb_lists *
 kwb_current_lists_read_lock(void)
 {
-	struct current *held;
+	struct snapshot *snapshot;
 
 	urcu_memb_read_lock();
-	held = rcu_dereference(current);
-	return held ? held->lists : NULL;
+	snapshot = rcu_dereference(current);
+	return snapshot ? snapshot->lists : NULL;
 }
 
 void
@@ -118,25 +118,26 @@
 int
 kwb_current_lists_text(struct kwb_buf *out, uint64_t *revision)
 {
-	struct current *held;
+	struct snapshot *snapshot;
 	int error = KWB_ERR_LISTS_NONE;
 
 	urcu_memb_read_lock();
-	held = rcu_dereference(current);
-	if (held != NULL) {
-		*revision = held->lists->revision;
-		error = kwb_buf_add(out, held->text, held->length_bytes);
+	snapshot = rcu_dereference(current);
+	if (snapshot != NULL) {
+		*revision = snapshot->lists->revision;
+		error =
+		    kwb_buf_add(out, snapshot->text, snapshot->length_bytes);
 	}
 	urcu_memb_read_unlock();
 	return error;
 }
 
 static void
-current_free(struct current *old)
+snapshot_free(struct snapshot *discarded)
 {
-	if (old == NULL)
+	if (discarded == NULL)
 		return;
-	kwb_lists_free(old->lists);
-	free(old->text);
-	free(old);
+	kwb_lists_free(discarded->lists);
+	free(discarded->text);
+	free(discarded);
 }
--- a/src/lists/merge.c
+++ b/src/lists/merge.c
@@ -10,15 +10,15 @@
 static void plan_print(const struct kwb_plan *plan, struct kwb_buf *out);
 static void allowance_print(
     const struct kwb_allowance *allowance, struct kwb_buf *out);
-static void print_entry(const struct kwb_lists *lists, bool plans,
+static void print_entry(const struct kwb_lists *lists, bool is_plan,
     const char *name, struct kwb_buf *out);
 static uint32_t collect_names(const struct kwb_lists *const *lists,
-    unsigned count, bool plans, const char **names);
+    unsigned count, bool is_plan, const char **names);
 static int merge_entries(struct kwb_lists *merged,
-    const struct kwb_lists *const *sides, bool plans,
+    const struct kwb_lists *const *sides, bool is_plan,
     struct kwb_buf *conflicts);
 static int copy_entry(struct kwb_lists *merged, const struct kwb_lists *from,
-    bool plans, const char *name);
+    bool is_plan, const char *name);
 
 int
 kwb_lists_diff(const struct kwb_lists *from, const struct kwb_lists *to,
@@ -29,16 +29,16 @@
 	struct kwb_buf old_text, new_text;
 	uint32_t i, count;
 	int differing = 0;
-	int plans;
+	int is_plan;
 
 	kwb_buf_init(&old_text);
 	kwb_buf_init(&new_text);
-	for (plans = 1; plans >= 0; plans--) {
-		count = collect_names(sides, 2, plans != 0, names);
+	for (is_plan = 1; is_plan >= 0; is_plan--) {
+		count = collect_names(sides, 2, is_plan != 0, names);
 		for (i = 0; i < count; i++) {
 			old_text.used_bytes = new_text.used_bytes = 0;
-			print_entry(from, plans != 0, names[i], &old_text);
-			print_entry(to, plans != 0, names[i], &new_text);
+			print_entry(from, is_plan != 0, names[i], &old_text);
+			print_entry(to, is_plan != 0, names[i], &new_text);
 			if (strcmp(kwb_buf_text(&old_text),
 				kwb_buf_text(&new_text)) == 0)
 				continue;
@@ -68,9 +68,10 @@
 	(*merged)->revision = theirs->revision;
 	error = merge_entries(*merged, sides, true, conflicts);
 	if (error == 0 || error == KWB_ERR_LISTS_CONFLICT) {
-		int second = merge_entries(*merged, sides, false, conflicts);
+		int allowances_error =
+		    merge_entries(*merged, sides, false, conflicts);
 
-		error = error ? error : second;
+		error = error ? error : allowances_error;
 	}
 	if (error == 0)
 		return 0;
@@ -81,10 +82,10 @@
 
 static int
 merge_entries(struct kwb_lists *merged, const struct kwb_lists *const *sides,
-    bool plans, struct kwb_buf *conflicts)
+    bool is_plan, struct kwb_buf *conflicts)
 {
 	const char *names[3 * KWB_PLANS_MAX];
-	uint32_t i, count = collect_names(sides, 3, plans, names);
+	uint32_t i, count = collect_names(sides, 3, is_plan, names);
 	struct kwb_buf text[3];
 	const struct kwb_lists *winner;
 	int side, error = 0;
@@ -92,7 +93,8 @@
 	for (i = 0; i < count; i++) {
 		for (side = 0; side < 3; side++) {
 			kwb_buf_init(&text[side]);
-			print_entry(sides[side], plans, names[i], &text[side]);
+			print_entry(
+			    sides[side], is_plan, names[i], &text[side]);
 		}
 		const char *base = kwb_buf_text(&text[0]);
 		const char *theirs = kwb_buf_text(&text[1]);
@@ -107,7 +109,7 @@
 			error = KWB_ERR_LISTS_CONFLICT;
 		}
 		if (error == 0)
-			error = copy_entry(merged, winner, plans, names[i]);
+			error = copy_entry(merged, winner, is_plan, names[i]);
 		for (side = 0; side < 3; side++)
 			kwb_buf_finish(&text[side]);
 	}
@@ -115,7 +117,7 @@
 }
 
 static int
-copy_entry(struct kwb_lists *merged, const struct kwb_lists *from, bool plans,
+copy_entry(struct kwb_lists *merged, const struct kwb_lists *from, bool is_plan,
     const char *name)
 {
 	const struct kwb_plan *plan = kwb_lists_find_plan(from, name);
@@ -124,9 +126,9 @@
 	struct kwb_plan *to;
 	void *grown;
 
-	if (plans ? plan == NULL : allowance == NULL)
+	if (is_plan ? plan == NULL : allowance == NULL)
 		return 0;
-	if (!plans) {
+	if (!is_plan) {
 		grown = realloc(merged->allowances,
 		    (merged->allowances_count + 1) * sizeof(*allowance));
 		if (grown == NULL)
@@ -157,17 +159,17 @@
 
 /* The distinct names of all sides, in order of first appearance. */
 static uint32_t
-collect_names(const struct kwb_lists *const *lists, unsigned count, bool plans,
-    const char **names)
+collect_names(const struct kwb_lists *const *lists, unsigned count,
+    bool is_plan, const char **names)
 {
 	uint32_t i, j, entries, used = 0;
 	unsigned side;
 
 	for (side = 0; side < count; side++) {
-		entries = plans ? lists[side]->plans_count
-				: lists[side]->allowances_count;
+		entries = is_plan ? lists[side]->plans_count
+				  : lists[side]->allowances_count;
 		for (i = 0; i < entries; i++) {
-			const char *name = plans
+			const char *name = is_plan
 			    ? lists[side]->plans[i].name
 			    : lists[side]->allowances[i].plan;
 
@@ -182,16 +184,16 @@
 }
 
 static void
-print_entry(const struct kwb_lists *lists, bool plans, const char *name,
+print_entry(const struct kwb_lists *lists, bool is_plan, const char *name,
     struct kwb_buf *out)
 {
 	const struct kwb_plan *plan = kwb_lists_find_plan(lists, name);
 	const struct kwb_allowance *allowance =
 	    kwb_lists_find_allowance(lists, name);
 
-	if (plans && plan != NULL)
+	if (is_plan && plan != NULL)
 		plan_print(plan, out);
-	if (!plans && allowance != NULL)
+	if (!is_plan && allowance != NULL)
 		allowance_print(allowance, out);
 }
 
--- a/src/lists/store.c
+++ b/src/lists/store.c
@@ -93,24 +93,24 @@
     uint64_t *revision, struct kwb_buf *conflicts, struct kwb_faults *faults)
 {
 	struct kwb_lists *current = NULL, *merged = NULL;
-	struct kwb_buf ignored;
+	struct kwb_buf diff;
 	int error;
 
 	error = kwb_lists_fetch(platform, &current);
 	if (error != 0)
 		return error;
-	kwb_buf_init(&ignored);
+	kwb_buf_init(&diff);
 	conflicts->used_bytes = 0;
 	faults->count = 0;
 	error = merge_with_current(platform, ours, current, &merged, conflicts);
 	if (error == 0)
 		error = kwb_lists_check(merged, NULL, 0, faults);
-	if (error == 0 && kwb_lists_diff(current, merged, &ignored) == 0)
+	if (error == 0 && kwb_lists_diff(current, merged, &diff) == 0)
 		*revision = current->revision;
 	else if (error == 0)
 		error =
 		    lists_write(platform, merged, current->revision, revision);
-	kwb_buf_finish(&ignored);
+	kwb_buf_finish(&diff);
 	kwb_lists_free(merged);
 	kwb_lists_free(current);
 	return error;
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -37,13 +37,13 @@
 	Kwb__Wire__Lists lists = KWB__WIRE__LISTS__INIT;
 	KWB_FRAME(frame, LISTS, lists, lists);
 	struct kwb_buf text;
-	bool behind;
+	bool is_behind;
 
 	pthread_mutex_lock(&entry->peers.lock);
-	behind = peer->link == link &&
+	is_behind = peer->link == link &&
 	    peer->lists_revision < kwb_current_lists_revision();
 	pthread_mutex_unlock(&entry->peers.lock);
-	if (!behind)
+	if (!is_behind)
 		return;
 	kwb_buf_init(&text);
 	if (kwb_current_lists_text(&text, &lists.revision) == 0) {
@@ -181,13 +181,13 @@
     const Kwb__Wire__Hello *hello)
 {
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
-	bool wrong;
+	bool is_mismatch;
 
 	pthread_mutex_lock(&entry->peers.lock);
 	/* Behind the address there may by now be another VM. */
-	wrong =
+	is_mismatch =
 	    hello->protocol != KWB_PROTOCOL || strcmp(hello->vm, peer->vm) != 0;
-	if (peer->link == link && !wrong) {
+	if (peer->link == link && !is_mismatch) {
 		if (peer->incarnation != hello->incarnation)
 			peer_clear_load(peer);
 		peer->greeted = true;
@@ -202,7 +202,7 @@
 		    peer->incarnation);
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
-	if (wrong)
+	if (is_mismatch)
 		kwb_link_close(&entry->loop, link);
 	else
 		peer_send_lists(entry, link, tag);
@@ -244,14 +244,14 @@
 		model->swapping = status->versions[i]->swapping;
 	}
 	for (i = 0; i < status->n_plans; i++) {
-		struct peer_plan *use =
+		struct peer_plan *plan_use =
 		    peer_plan_get(peer, status->plans[i]->plan);
 
-		if (use == NULL)
+		if (plan_use == NULL)
 			continue;
-		use->units = status->plans[i]->units;
-		use->others =
-		    load_of_others(status->plans[i]->running, use->own);
+		plan_use->units = status->plans[i]->units;
+		plan_use->others =
+		    load_of_others(status->plans[i]->running, plan_use->own);
 	}
 }
 
@@ -262,17 +262,17 @@
 {
 	/* What was refused is counted here and not there. */
 	uint32_t refused = done->error == KWB_ERR_CALL_BUSY;
-	struct peer_plan *use;
+	struct peer_plan *plan_use;
 
 	pthread_mutex_lock(&entry->peers.lock);
 	if (peer->link == link && done->leaving)
 		peer->leaving = true;
 	if (peer->link == link && done->plan[0] != '\0') {
 		peer->others = load_of_others(done->busy + refused, peer->own);
-		use = peer_plan_get(peer, done->plan);
-		if (use != NULL)
-			use->others = load_of_others(
-			    done->plan_running + refused, use->own);
+		plan_use = peer_plan_get(peer, done->plan);
+		if (plan_use != NULL)
+			plan_use->others = load_of_others(
+			    done->plan_running + refused, plan_use->own);
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
 }
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -100,16 +100,16 @@
 peers_release(struct kwb_entry *entry, struct target *target, int error)
 {
 	struct peer *peer;
-	struct peer_plan *use;
+	struct peer_plan *plan_use;
 
 	if (target->peer < 0)
 		return;
 	peer = &entry->peers.peers[target->peer];
 	pthread_mutex_lock(&entry->peers.lock);
 	if (strcmp(peer->vm, target->vm) == 0) {
-		use = peer_plan_get(peer, target->plan);
-		if (use != NULL && use->own > 0)
-			use->own--;
+		plan_use = peer_plan_get(peer, target->plan);
+		if (plan_use != NULL && plan_use->own > 0)
+			plan_use->own--;
 		if (peer->own > 0)
 			peer->own--;
 		if (error == KWB_ERR_CALL_BUSY)
@@ -192,7 +192,7 @@
 {
 	uint64_t demand_ns =
 	    atomic_load(&entry_gate(entry, plan->name)->demand_ns);
-	bool pulled =
+	bool in_demand =
 	    demand_ns != 0 && kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_NS;
 	unsigned i, used = 0, count;
 
@@ -200,7 +200,7 @@
 	    kwb_share_homes(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
-		if (pulled ||
+		if (in_demand ||
 		    entry_leads(
 			entry, plan->name, vms->vms[chosen[i]].failure_domain))
 			chosen[used++] = chosen[i];
@@ -304,14 +304,16 @@
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++) {
 		struct peer *peer = &peers->peers[i];
-		struct peer_plan *use;
+		struct peer_plan *plan_use;
 
 		if (i == except || !peer_is_usable(peer, now_ns))
 			continue;
-		use = peer_plan_get(peer, plan);
-		if (use != NULL && use->own + use->others < use->units &&
+		plan_use = peer_plan_get(peer, plan);
+		if (plan_use != NULL &&
+		    plan_use->own + plan_use->others < plan_use->units &&
 		    peer->own + peer->others < peer->slots)
-			idle += use->units - use->own - use->others;
+			idle +=
+			    plan_use->units - plan_use->own - plan_use->others;
 	}
 	pthread_mutex_unlock(&peers->lock);
 	return idle;
@@ -365,7 +367,7 @@
 static struct peer *
 peer_find_or_add(struct peers *peers, const struct kwb_vm *vm)
 {
-	struct peer *peer, *open = NULL;
+	struct peer *peer, *unused = NULL;
 	unsigned i;
 
 	for (i = 0; i < KWB_PEERS_MAX; i++) {
@@ -375,18 +377,18 @@
 				peer->address = vm->address;
 			return peer;
 		}
-		if (open == NULL && peer->vm[0] == '\0')
-			open = peer;
+		if (unused == NULL && peer->vm[0] == '\0')
+			unused = peer;
 	}
-	if (open == NULL)
+	if (unused == NULL)
 		return NULL;
-	memset(open, 0, sizeof(*open));
-	kwb_text_copy(open->vm, sizeof(open->vm), vm->vm);
-	kwb_text_copy(open->failure_domain, sizeof(open->failure_domain),
+	memset(unused, 0, sizeof(*unused));
+	kwb_text_copy(unused->vm, sizeof(unused->vm), vm->vm);
+	kwb_text_copy(unused->failure_domain, sizeof(unused->failure_domain),
 	    vm->failure_domain);
-	kwb_text_copy(open->pool, sizeof(open->pool), vm->pool);
-	open->address = vm->address;
-	return open;
+	kwb_text_copy(unused->pool, sizeof(unused->pool), vm->pool);
+	unused->address = vm->address;
+	return unused;
 }
 
 static void
@@ -394,24 +396,24 @@
     const char *plan, const char *model, struct kwb_candidate *candidate)
 {
 	const struct peer_model *state = peer_find_model(peer, model);
-	const struct peer_plan *use;
+	const struct peer_plan *plan_use;
 
 	memset(candidate, 0, sizeof(*candidate));
 	candidate->vm = peer->vm;
 	if (peer->vm[0] == '\0' || !peer_is_usable(peer, kwb_clock_now_ns()))
 		return;
-	use = peer_plan_get(peer, plan);
-	if (use == NULL || (model != NULL && state == NULL))
+	plan_use = peer_plan_get(peer, plan);
+	if (plan_use == NULL || (model != NULL && state == NULL))
 		return;
-	candidate->usable = use->units > 0;
+	candidate->usable = plan_use->units > 0;
 	candidate->same_domain =
 	    strcmp(peer->failure_domain, entry->settings->failure_domain) == 0;
 	if (state != NULL) {
 		candidate->version = state->version;
 		candidate->swapping = state->swapping;
 	}
-	candidate->units = use->units;
-	candidate->in_plan = use->own + use->others;
+	candidate->units = plan_use->units;
+	candidate->in_plan = plan_use->own + plan_use->others;
 	candidate->slots = peer->slots;
 	candidate->in_flight = peer->own + peer->others;
 }
@@ -419,7 +421,7 @@
 struct peer_plan *
 peer_plan_get(struct peer *peer, const char *plan)
 {
-	struct peer_plan *use;
+	struct peer_plan *plan_use;
 	unsigned i;
 
 	for (i = 0; i < peer->plans_count; i++)
@@ -427,10 +429,10 @@
 			return &peer->plans[i];
 	if (peer->plans_count == KWB_PLANS_MAX)
 		return NULL;
-	use = &peer->plans[peer->plans_count++];
-	memset(use, 0, sizeof(*use));
-	kwb_text_copy(use->plan, sizeof(use->plan), plan);
-	return use;
+	plan_use = &peer->plans[peer->plans_count++];
+	memset(plan_use, 0, sizeof(*plan_use));
+	kwb_text_copy(plan_use->plan, sizeof(plan_use->plan), plan);
+	return plan_use;
 }
 
 static const struct peer_model *
@@ -449,7 +451,7 @@
     struct target *target)
 {
 	const struct peer_model *state = peer_find_model(peer, model);
-	struct peer_plan *use = peer_plan_get(peer, plan);
+	struct peer_plan *plan_use = peer_plan_get(peer, plan);
 
 	target->peer = index;
 	target->link = peer->link;
@@ -458,6 +460,6 @@
 	kwb_text_copy(target->vm, sizeof(target->vm), peer->vm);
 	kwb_text_copy(target->plan, sizeof(target->plan), plan);
 	peer->own++;
-	if (use != NULL)
-		use->own++;
+	if (plan_use != NULL)
+		plan_use->own++;
 }
--- a/src/member/subset.c
+++ b/src/member/subset.c
@@ -119,9 +119,10 @@
 	for (pass = 0; pass < 3; pass++) {
 		for (i = 0; i < count && used < wanted; i++) {
 			const char *domain = agents[i].vm->failure_domain;
-			bool near = strcmp(domain, failure_domain) == 0;
+			bool is_own_domain =
+			    strcmp(domain, failure_domain) == 0;
 
-			if (agents[i].taken || (pass == 1 && !near) ||
+			if (agents[i].taken || (pass == 1 && !is_own_domain) ||
 			    (pass == 0 && domain_is_taken(agents, i, domain)))
 				continue;
 			agents[i].taken = true;
