--- a/src/lists/check.c
+++ b/src/lists/check.c
@@ -1,7 +1,6 @@
 /*
- * Checks of the two lists together: names, ranges and references. Every
- * add_fault is reported, with the file and line of its field where the text is
- * known.
+ * Validation of the two lists: names, ranges and references. Every fault is
+ * reported, with the file and line of its field where the document is known.
  */
 #include <ctype.h>
 #include <stdio.h>
@@ -151,8 +150,9 @@
 }
 
 /*
- * Line of a field of the index-th item of a list in block style; the item's
- * first line when the field is not there; 0 when the list is not there.
+ * Line number, from 1, of a field of the index-th item of a list in block
+ * style. The item's first line if it lacks the field; 0 if there is no such
+ * item.
  */
 static int
 field_line(
@@ -188,7 +188,7 @@
 	return item_line;
 }
 
-/* Whether the line has the field, in block or in flow style. */
+/* Whether the line has the field as a key, in block or in flow style. */
 static bool
 line_has_field(const char *line, const char *field)
 {
--- a/src/lists/current.c
+++ b/src/lists/current.c
@@ -1,7 +1,7 @@
 /*
- * The newest lists this process knows. Readers hold them under RCU; an offer
- * with a higher revision replaces them, a lower one changes nothing, so the
- * revision never falls.
+ * The newest lists that this process knows, in one snapshot that readers use
+ * under RCU. Only a document with a higher revision replaces it, so that the
+ * revision never decreases, whatever the order in which documents arrive.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,6 +10,7 @@
 
 #include "kwb.h"
 
+/* One revision of the lists, parsed and as received. */
 struct snapshot {
 	struct kwb_lists *lists;
 	char *text;
--- a/src/lists/lists.c
+++ b/src/lists/lists.c
@@ -1,5 +1,5 @@
 /*
- * The two lists: schema, loading, printing, look-up.
+ * The two lists: schema of the YAML document, parsing, printing and look-up.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -154,7 +154,7 @@
 	return NULL;
 }
 
-/* The first rule whose method matches and whose path is a prefix. */
+/* The method must be equal; the rule's path must be a prefix of the path. */
 const struct kwb_rule *
 kwb_plan_match_rule(
     const struct kwb_plan *plan, const char *method, const char *path)
--- a/src/lists/merge.c
+++ b/src/lists/merge.c
@@ -1,6 +1,7 @@
 /*
- * Difference and three-way merge of the two lists, entry by entry. Two edits
- * of different entries both survive; two edits of one entry conflict.
+ * Difference and three-way merge of the two lists. An entry is one plan or one
+ * allowance: edits of different entries are combined, different edits of the
+ * same entry conflict. Entries are compared by their printed text.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -157,7 +158,7 @@
 	return 0;
 }
 
-/* The distinct names of all sides, in order of first appearance. */
+/* Collects the distinct names of all sides, in order of first appearance. */
 static uint32_t
 collect_names(const struct kwb_lists *const *lists, unsigned count,
     bool is_plan, const char **names)
--- a/src/lists/store.c
+++ b/src/lists/store.c
@@ -1,8 +1,8 @@
 /*
  * The two lists in the platform: one row of the table, written by
- * compare-and-set, and a copy of each revision in the object store. An edit
- * made against an older revision is merged; a write whose answer was lost is
- * sent again until the table has surely decided.
+ * compare-and-set, and a copy of each revision in the object store. An edit of
+ * an older revision is merged with later ones. A write whose answer was lost is
+ * repeated until it is known whether it took effect.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -70,7 +70,7 @@
 	return error;
 }
 
-/* ours->revision is the revision that the edit began from. */
+/* ours->revision is the revision that was edited. */
 int
 kwb_lists_apply(const struct kwb_platform *platform,
     const struct kwb_lists *ours, uint64_t *revision, struct kwb_buf *conflicts,
@@ -151,7 +151,7 @@
 
 	kwb_buf_init(&text);
 	kwb_buf_init(&old);
-	/* An earlier writer may have died before it kept the history. */
+	/* An earlier writer may have died before it saved the history. */
 	if (expected > 0 &&
 	    kwb_lists_read(platform, 0, &old, &old_revision) == 0 &&
 	    old_revision == expected)
