--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -1,9 +1,9 @@
 /*
- * Named leases with fencing tokens, one table row each: "holder incarnation
- * token renewals". No clock is compared between machines: another takes over
- * only after it has itself watched the row stay unchanged for a whole lease
- * time. A holder that paused past it learns so at its next renewal; until then
- * its orders carry a token that agents refuse.
+ * Leases with fencing tokens, one row of the table each: "holder incarnation
+ * token renewals". Clocks of machines are never compared: another process takes
+ * a lease only after it has itself seen the row unchanged for a whole lease
+ * time. A holder that was paused for longer notices at its next renewal; until
+ * then agents refuse its orders, because their token is too low.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -119,7 +119,10 @@
 	uint64_t revision;
 	int length;
 
-	/* The counter makes each write distinct, for the reading back. */
+	/*
+	 * The counter makes each value distinct, so that a write whose answer
+	 * was lost is recognized when the row is read back.
+	 */
 	lease->renewals++;
 	length = snprintf(value, sizeof(value),
 	    "%s %" PRIu64 " %" PRIu64 " %" PRIu64, holder, lease->incarnation,
@@ -135,6 +138,7 @@
 	    row->incarnation == lease->incarnation;
 }
 
+/* Also notes when the row was first seen at this revision. */
 static bool
 row_is_free(struct kwb_lease *lease, const struct lease_row *row,
     uint64_t revision, uint64_t now_ns)
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -1,6 +1,6 @@
 /*
- * Links to peers: greetings, heartbeats, status, lists, and answers handed to
- * those who wait for them.
+ * Links to peers: hello, heartbeats, status and lists; answers are passed on to
+ * the threads that wait for them.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -29,7 +29,6 @@
     .on_heartbeat = on_heartbeat,
 };
 
-/* Sends the lists to a peer that knows an older revision. */
 void
 peer_send_lists(struct kwb_entry *entry, uint64_t link, uint32_t tag)
 {
@@ -58,6 +57,7 @@
 	kwb_buf_finish(&text);
 }
 
+/* The tag of a link is the peer's index in the table. */
 static void
 on_open(void *context, uint64_t link, uint32_t tag)
 {
@@ -140,8 +140,8 @@
 }
 
 /*
- * Beats come less often the more links there are, so that their sum stays
- * within what control may use. Called under the table's lock.
+ * The period grows with the number of links, so that all heartbeats together
+ * stay within the bandwidth for control traffic. Called under the table's lock.
  */
 static uint64_t
 heartbeat_period_ns(const struct peers *peers)
@@ -184,7 +184,7 @@
 	bool is_mismatch;
 
 	pthread_mutex_lock(&entry->peers.lock);
-	/* Behind the address there may by now be another VM. */
+	/* Another VM may have taken over the address. */
 	is_mismatch =
 	    hello->protocol != KWB_PROTOCOL || strcmp(hello->vm, peer->vm) != 0;
 	if (peer->link == link && !is_mismatch) {
@@ -208,7 +208,7 @@
 		peer_send_lists(entry, link, tag);
 }
 
-/* What an earlier process on the VM held is not what this one holds. */
+/* Clears what was reported: a new process on the VM holds none of it. */
 static void
 peer_clear_load(struct peer *peer)
 {
@@ -255,12 +255,12 @@
 	}
 }
 
-/* Each answer brings the load along, fresher than the last status. */
+/* Each answer carries the load, which is newer than the last status. */
 static void
 peer_apply_load(struct kwb_entry *entry, uint64_t link, struct peer *peer,
     const Kwb__Wire__Done *done)
 {
-	/* What was refused is counted here and not there. */
+	/* A refused request still counts as ours, but not at the agent. */
 	uint32_t refused = done->error == KWB_ERR_CALL_BUSY;
 	struct peer_plan *plan_use;
 
@@ -277,7 +277,7 @@
 	pthread_mutex_unlock(&entry->peers.lock);
 }
 
-/* Requests of other entries among those an agent reports. */
+/* Requests of other entries: those that an agent reports less our own. */
 static uint32_t
 load_of_others(uint32_t reported, uint32_t own)
 {
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -1,7 +1,7 @@
 /*
- * Peers of an entry: the agents of its subset, their links and what they last
- * said of themselves. Routing is decided here under the table's lock, so that
- * a choice and the place it takes are one step.
+ * Peers of an entry: the agents that it connects to and what they last reported
+ * of themselves. A peer is chosen and a slot there reserved under one lock, so
+ * that two requests can't take the same slot.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -39,7 +39,7 @@
 	pthread_mutex_destroy(&peers->lock);
 }
 
-/* Chooses a peer of the plan's pool, takes a place there and logs why. */
+/* Routes a request: reserves a slot at the chosen peer and logs why. */
 int
 peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
     const char *plan, const char *model, const char *key, struct target *target)
@@ -73,7 +73,7 @@
 	return 0;
 }
 
-/* Takes a place at one named peer, whatever its load. */
+/* Reserves a slot at the peer on that VM, whatever its load. */
 int
 peers_reserve(struct kwb_entry *entry, const char *vm, const char *plan,
     const char *model, struct target *target)
@@ -95,7 +95,10 @@
 	return error;
 }
 
-/* Gives the place back; the error tells how the peer did. */
+/*
+ * Gives a reserved slot back. The error is that of the request: a busy peer is
+ * passed over for a while, and so is one that fails several times in a row.
+ */
 void
 peers_release(struct kwb_entry *entry, struct target *target, int error)
 {
@@ -131,7 +134,7 @@
 	target->peer = -1;
 }
 
-/* Brings the table in line with the platform's list and with demand. */
+/* Updates the table from the VM list and the plans in demand here. */
 void
 peers_update(struct kwb_entry *entry, const struct kwb_vms *vms)
 {
@@ -160,8 +163,9 @@
 }
 
 /*
- * The homes of the training plans that are pulled through this entry, and of
- * those whose weights are rolled out from here, in the domains led.
+ * The home agents of the training plans whose samples are pulled through this
+ * entry, and of those whose weights it rolls out, in the failure domains that
+ * it leads.
  */
 static unsigned
 home_agents_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
@@ -207,7 +211,7 @@
 	return used;
 }
 
-/* What the list says of a peer; one no longer wanted goes when it is idle. */
+/* Applies the VM list to a peer; frees one that is unwanted and idle. */
 static void
 peer_apply_listing(struct peer *peer, const struct kwb_vms *vms)
 {
@@ -224,6 +228,7 @@
 		memset(peer, 0, sizeof(*peer));
 }
 
+/* Opens links to wanted peers that have none, with exponential backoff. */
 void
 peers_reconnect(struct kwb_entry *entry)
 {
@@ -250,6 +255,7 @@
 	pthread_mutex_unlock(&peers->lock);
 }
 
+/* Sends the lists to all connected peers that have an older revision. */
 void
 peers_push_lists(struct kwb_entry *entry)
 {
@@ -267,6 +273,7 @@
 			peer_send_lists(entry, links[i], i);
 }
 
+/* Lists the connected peers of a pool, without reserving slots there. */
 unsigned
 peers_in_pool(struct kwb_entry *entry, const char *pool, struct target *targets,
     unsigned targets_max)
@@ -292,7 +299,7 @@
 	return count;
 }
 
-/* Free places of a plan at usable peers other than one. */
+/* Free units of a plan at usable peers, except the one at that index. */
 uint32_t
 peers_idle_units(struct kwb_entry *entry, const char *plan, int except)
 {
@@ -319,6 +326,7 @@
 	return idle;
 }
 
+/* Appends all peers as a JSON array. */
 void
 peers_print_json(struct kwb_entry *entry, struct kwb_buf *out)
 {
@@ -363,7 +371,10 @@
 	    now_ns >= peer->busy_ns;
 }
 
-/* The slot of a VM, taken on first sight; a moved VM gets a new link. */
+/*
+ * The peer on a VM, added if missing; NULL if the table is full. A new address
+ * takes effect with the next link.
+ */
 static struct peer *
 peer_find_or_add(struct peers *peers, const struct kwb_vm *vm)
 {
--- a/src/member/subset.c
+++ b/src/member/subset.c
@@ -1,8 +1,9 @@
 /*
- * Which agents an entry connects to. Its own subset, by rendezvous hashing
- * per pool: one agent of every failure domain, then its own domain first, so
- * that connections grow with the subset and not with the fleet. And the homes
- * of a plan: the agents that hold the plan's allowance.
+ * Which agents an entry connects to, by rendezvous hashing. Its own subset
+ * takes, in each pool, one agent of every failure domain, then agents of its
+ * own domain, then others, so that the number of connections grows with the
+ * subset and not with the fleet. The home agents of a plan, which hold its
+ * allowance, are the first ones of its pool by rank.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +12,7 @@
 
 #include "kwb.h"
 
-/* An agent of the list with its rendezvous score. */
+/* An agent with its index in the VM list and its rendezvous score. */
 struct scored_agent {
 	const struct kwb_vm *vm;
 	uint32_t index;
@@ -74,7 +75,7 @@
 	return i;
 }
 
-/* The agents of one pool or of all, by pool and falling score. */
+/* Lists the agents of a pool (NULL for all) by pool and falling score. */
 static unsigned
 score_agents(const struct kwb_vms *vms, const char *pool, uint64_t seed,
     struct scored_agent *agents)
@@ -110,6 +111,10 @@
 	return strcmp(left->vm->vm, right->vm->vm);
 }
 
+/*
+ * First pass: one agent of each domain; second: the entry's own domain; third:
+ * any others.
+ */
 static unsigned
 select_in_pool(struct scored_agent *agents, unsigned count,
     const char *failure_domain, unsigned wanted, uint32_t *chosen)
