--- a/src/call/call.c
+++ b/src/call/call.c
@@ -1,7 +1,8 @@
 /*
- * Plain calls. A non-idempotent call goes to one agent under one key; when it
- * is not known what became of it, the agent is asked, which bars the key if it
- * never saw it. Only what was surely not run goes to another agent.
+ * Plain calls. A non-idempotent call goes to one agent under one key. If its
+ * outcome is unknown, that agent is asked; an agent that never saw the key bars
+ * it, so that it can't run later. Only a call that surely did not run is sent
+ * to another agent.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -10,17 +11,17 @@
 
 #include "../entry/entry.h"
 
-#define OUTCOME_WAIT_NS (500 * KWB_MS_NS)
+#define OUTCOME_WAIT_NS (500 * KWB_MS_NS) /* after the call's deadline */
 #define RETRY_DELAY_NS (2 * KWB_MS_NS)
 
-/* One dispatch with one agent. */
+/* A call while it is sent to agents, one after another, and answered. */
 struct dispatch {
 	struct kwb_entry *entry;
 	struct call *call;
 	struct call_answer *answer;
 	struct inbox inbox;
 	struct target target;
-	uint64_t request;
+	uint64_t request; /* id of the current request on the link */
 	uint64_t outcome_deadline_ns;
 };
 
@@ -55,7 +56,7 @@
 	inbox_init(&dispatch.inbox);
 	kwb_budget_try(&gate->budget);
 	do {
-		/* Where all was full nothing was tried, so nothing is spent. */
+		/* If all were full nothing was sent: no retry is spent. */
 		was_full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
 		if (is_retry && !was_full && !kwb_budget_retry(&gate->budget))
@@ -71,7 +72,7 @@
 	inbox_finish(&dispatch.inbox);
 }
 
-/* Names a call: a key pinned to an agent that can take it now. */
+/* Pins a key, new if pin has none, to an agent that can take a call now. */
 int
 call_pin_create(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin)
@@ -119,8 +120,8 @@
 }
 
 /*
- * Where the call goes: to the agent it is pinned to, else to a new one under
- * a new key. A pinned call whose agent restarted can't be known any more.
+ * Reserves a slot at the agent that the call is pinned to; a call without a
+ * pin is first pinned to a chosen agent under a new key.
  */
 static int
 call_reserve_target(struct dispatch *dispatch)
@@ -212,14 +213,15 @@
 		    sizeof(answer->content_type), done->content_type);
 		kwb_buf_add(&answer->body, done->body.data, done->body.len);
 	}
-	/* A later process on that VM can't say what an earlier one did. */
+	/* A restarted agent does not know what its predecessor ran. */
 	if (done->error == KWB_ERR_CALL_INCARNATION && dispatch->call->pinned)
 		answer->outcome = KWB_OUTCOME_UNKNOWN;
 }
 
 /*
- * The link is gone: waits for a new one to the same incarnation and asks
- * there. On success the answer's error is 0 and a apply_done is to be awaited.
+ * After the loss of a link: waits for a new one to the same agent process and
+ * sends a query. If that succeeds the answer's error is 0 and the outcome is
+ * still to be waited for.
  */
 static void
 query_after_reconnect(struct dispatch *dispatch)
@@ -251,9 +253,9 @@
 }
 
 /*
- * A key that its caller named may come again through another entry. Before
- * this one is told "not run", the agent bars the key, or says what became of
- * it meanwhile.
+ * A caller may send its own key again through another entry. So before this one
+ * answers "not run", the agent must bar the key, or tell the outcome if it has
+ * run the key meanwhile.
  */
 static void
 bar_key(struct dispatch *dispatch)
@@ -292,8 +294,10 @@
 }
 
 /*
- * What was not run may go elsewhere under a new key, unless the caller named
- * the call; an idempotent one may also be repeated when that is not known.
+ * A call that did not run is retried at another agent under a new key, an
+ * idempotent one also if its outcome is unknown. A call that its caller named
+ * keeps its key, and is retried at its agent only if that was busy or had newer
+ * lists.
  */
 static bool
 can_retry(const struct dispatch *dispatch)
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -1,6 +1,6 @@
 /*
- * A generation on an agent: start, progress, end. Whatever breaks it off, the
- * tokens so far stay here and the next start resumes after them.
+ * A generation on an agent: start, progress, end. If it is interrupted, its
+ * tokens are kept here and the next start resumes after them.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -32,7 +32,7 @@
 	kwb_tokens_finish(&generation->tokens);
 }
 
-/* Routes and starts; an error means that nothing was sent. */
+/* Chooses an agent and starts there; on error nothing was sent. */
 int
 generation_start(struct kwb_entry *entry, struct generation *generation)
 {
@@ -46,7 +46,7 @@
 	};
 	int error;
 
-	/* Never the key of an earlier start: that copy went its own way. */
+	/* A key of its own: an agent may still run an earlier start. */
 	kwb_generation_key_print(generation->key, sizeof(generation->key),
 	    &entry->origin, generation->name, generation->starts);
 	error = peers_pick(entry, &route, generation->plan, generation->model,
@@ -59,7 +59,10 @@
 	return error ? error : generation_send(entry, generation);
 }
 
-/* Attaches to what a named agent holds; it replays that from the start. */
+/*
+ * Attaches to a sample that the agent on that VM already holds; the agent sends
+ * its tokens again from the first.
+ */
 int
 generation_attach(struct kwb_entry *entry, struct generation *generation,
     const char *vm, const char *key)
@@ -75,6 +78,7 @@
 	return generation_send(entry, generation);
 }
 
+/* Applies an event of the inbox; those of other requests are ignored. */
 void
 generation_handle_event(struct kwb_entry *entry, struct generation *generation,
     const struct event *event)
@@ -105,7 +109,10 @@
 	generation->error = 0;
 }
 
-/* Ends interest; with keep the agent goes on, for a later attempt. */
+/*
+ * Detaches from a running generation. With keep the agent goes on, for a later
+ * attempt; otherwise it cancels the generation.
+ */
 void
 generation_stop(
     struct kwb_entry *entry, struct generation *generation, bool keep)
@@ -166,7 +173,7 @@
 	return 0;
 }
 
-/* Tokens not yet known; an agent may replay from the start. */
+/* Adds the new tokens; an agent may send known ones again. */
 static void
 generation_add_tokens(
     struct generation *generation, const Kwb__Wire__Progress *progress)
@@ -190,6 +197,7 @@
 	}
 }
 
+/* Ends this start; the next one avoids the agent, if there is another. */
 static void
 generation_interrupt(
     struct kwb_entry *entry, struct generation *generation, int error)
--- a/src/call/inbox.c
+++ b/src/call/inbox.c
@@ -1,6 +1,6 @@
 /*
- * Inboxes and the registry of open requests. The link thread looks a request
- * up by id and posts to the inbox of the thread that waits for it.
+ * Inboxes and the registry of open requests. The link thread finds a request by
+ * its id and posts an event to the inbox of the thread that waits for it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -21,7 +21,7 @@
 	STAILQ_INIT(&inbox->events);
 }
 
-/* No request may still be open on the inbox. */
+/* All requests of the inbox must have been closed. */
 void
 inbox_finish(struct inbox *inbox)
 {
@@ -35,7 +35,7 @@
 	pthread_mutex_destroy(&inbox->lock);
 }
 
-/* The next event, or NULL at the deadline. */
+/* Waits for the next event; NULL at the deadline. The caller frees it. */
 struct event *
 inbox_wait(struct inbox *inbox, uint64_t deadline_ns)
 {
@@ -79,6 +79,7 @@
 		pthread_mutex_destroy(&registry->shards[i].lock);
 }
 
+/* Opens a request on a link and returns its id; 0 if out of memory. */
 uint64_t
 registry_open_request(
     struct registry *registry, struct inbox *inbox, uint64_t link, void *owner)
@@ -113,7 +114,7 @@
 	free(request);
 }
 
-/* Takes over the frame; one for a request no longer open is dropped. */
+/* Delivers a frame to its request, or frees it if that is not open. */
 void
 registry_deliver(
     struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame)
@@ -130,6 +131,7 @@
 		kwb_frame_free(frame);
 }
 
+/* Posts the loss of a link to every request on it. */
 void
 registry_link_lost(struct registry *registry, uint64_t link)
 {
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -1,6 +1,7 @@
 /*
- * Journal of an agent: what became of each key under this incarnation. Keys
- * are kept in shards, each under its own lock.
+ * Journal of an agent, in memory: the jobs of this process by key, so that a
+ * repeated request finds its job instead of running again. Keys are spread over
+ * shards, each under its own lock.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -38,6 +39,7 @@
 	pthread_mutex_destroy(&journal->fences_lock);
 }
 
+/* Locks the shard that holds a key. */
 struct journal_shard *
 journal_lock(struct journal *journal, const char *key)
 {
@@ -92,8 +94,8 @@
 }
 
 /*
- * A full journal refuses new keys: it never forgets one early, because then a
- * retry could run again.
+ * New keys are refused while the journal is full. No call is forgotten early to
+ * make room, because a retry could then run it again.
  */
 bool
 journal_is_full(const struct journal *journal)
@@ -102,7 +104,10 @@
 	    atomic_load(&journal->kept_bytes) >= KWB_JOURNAL_MAX_BYTES;
 }
 
-/* Accounts for a finished job's memory; called under its shard's lock. */
+/*
+ * Counts a finished job's memory and sets the time at which it is forgotten.
+ * Called under its shard's lock.
+ */
 void
 journal_retain(struct journal *journal, struct job *job)
 {
@@ -118,8 +123,9 @@
 }
 
 /*
- * Raises a plan's step fence. Finished samples of earlier steps are dropped
- * by handle_expired; an attempt below the fence is refused.
+ * Raises a plan's fence to a step and attempt. KWB_ERR_CALL_FENCED for a lower
+ * attempt of the same step. Samples of earlier steps are removed by
+ * handle_expired().
  */
 int
 journal_raise_fence(
@@ -147,6 +153,7 @@
 	return error;
 }
 
+/* Attaches a request to a job's output; false if it has no room for more. */
 bool
 job_attach(
     struct job *job, uint64_t link, uint64_t request, uint32_t sent_tokens)
@@ -163,7 +170,10 @@
 	return true;
 }
 
-/* Ends the link's interest: in one request, or in all when request is 0. */
+/*
+ * Detaches a request of the link, or all of them if request is 0. Returns
+ * whether any was attached.
+ */
 bool
 job_detach(struct job *job, uint64_t link, uint64_t request)
 {
@@ -186,7 +196,7 @@
 	return found;
 }
 
-/* The place of a sample in its step; NULL for other jobs. */
+/* The position of a sample in its step; NULL for other jobs. */
 const Kwb__Wire__Slot *
 job_slot(const struct job *job)
 {
--- a/src/call/ticket.c
+++ b/src/call/ticket.c
@@ -1,6 +1,7 @@
 /*
- * Names of calls. A pin ties a key to one agent's incarnation, where its
- * journal is. A ticket carries the pin inside; a claim keeps it in the table.
+ * Keys of calls. A pin ties a key to one agent process, whose journal knows
+ * whether the key was run. A ticket is the pin as text, held by the caller; a
+ * claim keeps the pin of a caller's own key in the table.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -30,7 +31,7 @@
 	}
 }
 
-/* The VM is part of a key: incarnations of two entries may be equal. */
+/* The VM is part of the key, as two entries may have the same incarnation. */
 void
 kwb_call_key_print(char *key, size_t room_bytes,
     const struct kwb_origin *origin, const char *plan, uint64_t number)
@@ -71,9 +72,9 @@
 }
 
 /*
- * Inserts the pin under the plan and key unless another entry already did, in
- * which case pin becomes the first one. Retried until the table has surely
- * decided: an insert that may still be on its way must not be given up.
+ * If another entry already inserted a pin for the key, pin becomes that one.
+ * The insert is repeated if the platform gives no answer, because the first one
+ * may still take effect.
  */
 int
 kwb_pin_claim(
--- a/src/call/tokens.c
+++ b/src/call/tokens.c
@@ -1,5 +1,5 @@
 /*
- * Tokens of a generation with the weight version that made each.
+ * Tokens of a generation, each with the version of the weights that made it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -53,7 +53,6 @@
 	return 0;
 }
 
-/* The oldest version among the tokens; UINT64_MAX when there are none. */
 uint64_t
 kwb_tokens_oldest_version(const struct kwb_tokens *tokens)
 {
