--- a/include/kwb.h
+++ b/include/kwb.h
@@ -225,101 +225,153 @@
 
 /* ---- The two lists: plans and allowances ------------------------------ */
 
+/*
+ * The configuration that operators write: plans say what customers may run,
+ * allowances how many requests of each plan may run and wait. Both lists stand
+ * in one YAML document, which is a row of the platform's table; the revision of
+ * the lists is that of the row. The fields below are keys of the document.
+ */
+
 enum kwb_plan_kind {
-	KWB_PLAN_TRAINING,
-	KWB_PLAN_INTERACTIVE,
-	KWB_PLAN_SERVICE
+	KWB_PLAN_TRAINING,    /* a trainer pulls samples, step by step */
+	KWB_PLAN_INTERACTIVE, /* completions, streamed or whole */
+	KWB_PLAN_SERVICE      /* HTTP calls to a service without a model */
+};
+
+/* What the scheduling of a training plan keeps low. */
+enum kwb_objective {
+	KWB_OBJECTIVE_IDLE,	/* idle time of servers */
+	KWB_OBJECTIVE_STALENESS /* age of the weights that make samples */
 };
-enum kwb_objective { KWB_OBJECTIVE_IDLE, KWB_OBJECTIVE_STALENESS };
 
+/* How the HTTP calls of a service plan that match it are treated. */
 struct kwb_rule {
-	char method[16];
-	char path[128];
-	bool idempotent;
+	char method[16]; /* matched exactly */
+	char path[128];	 /* prefix of the call's path */
+	bool idempotent; /* may be run more than once */
 	uint32_t timeout_ms;
 };
 
 struct kwb_plan {
 	char name[KWB_NAME_MAX_BYTES];
 	char customer[KWB_NAME_MAX_BYTES];
-	char pool[KWB_NAME_MAX_BYTES];
-	char model[KWB_NAME_MAX_BYTES];
+	char pool[KWB_NAME_MAX_BYTES];	/* of the agents that serve the plan */
+	char model[KWB_NAME_MAX_BYTES]; /* empty for a service plan */
 	enum kwb_plan_kind kind;
 	enum kwb_objective objective;
-	uint32_t staleness_versions;
-	bool mixed_versions;
-	uint32_t max_tokens;
-	struct kwb_rule *rules;
+	uint32_t staleness_versions; /* weights may lag the trainer's by this */
+	bool mixed_versions;	/* one sample may use several weight versions */
+	uint32_t max_tokens;	/* of one generation */
+	struct kwb_rule *rules; /* of a service plan; the first match counts */
 	uint32_t rules_count;
 };
 
 struct kwb_allowance {
 	char plan[KWB_NAME_MAX_BYTES];
-	uint32_t concurrent;
-	uint32_t queue;
+	uint32_t concurrent; /* requests that run at the same time */
+	uint32_t queue;	     /* further requests that wait */
 };
 
 struct kwb_platform;
 
 struct kwb_lists {
-	uint64_t revision;
+	uint64_t revision; /* 0 before the first write */
 	struct kwb_plan *plans;
 	uint32_t plans_count;
 	struct kwb_allowance *allowances;
 	uint32_t allowances_count;
 };
 
-/* Text that lists came from, for file and line in faults. */
+/* A document that lists were parsed from, to name file and line in faults. */
 struct kwb_lists_source {
 	const char *file;
 	const char *text;
 };
 
+/*
+ * Parses a document. KWB_ERR_LISTS_INVALID with faults; *lists may be set even
+ * then, so that kwb_lists_check() can find further faults.
+ */
 int kwb_lists_parse(struct kwb_lists **lists,
-    const struct kwb_lists_source *source,
-    struct kwb_faults
-	*faults); /* with faults, lists may be there for more checks */
-int kwb_lists_print(
-    const struct kwb_lists *lists, struct kwb_buf *out); /* as YAML */
-void kwb_lists_free(struct kwb_lists *lists);		 /* frees them */
+    const struct kwb_lists_source *source, struct kwb_faults *faults);
+
+/* Appends the lists as a YAML document. */
+int kwb_lists_print(const struct kwb_lists *lists, struct kwb_buf *out);
+void kwb_lists_free(struct kwb_lists *lists); /* lists may be NULL */
+
+/*
+ * Checks names, ranges and references. KWB_ERR_LISTS_INVALID with every fault;
+ * file and line are given where one of the sources has the field.
+ */
 int kwb_lists_check(const struct kwb_lists *lists,
     const struct kwb_lists_source *sources, unsigned sources_count,
-    struct kwb_faults *faults); /* every fault, with file and line */
-const struct kwb_plan *kwb_lists_find_plan(const struct kwb_lists *lists,
-    const char *name); /* by name; NULL for none */
+    struct kwb_faults *faults);
+
+/* The plan of that name; NULL for none, also without lists. */
+const struct kwb_plan *kwb_lists_find_plan(
+    const struct kwb_lists *lists, const char *name);
+
+/* The allowance of a plan; NULL for none, also without lists. */
 const struct kwb_allowance *kwb_lists_find_allowance(
-    const struct kwb_lists *lists,
-    const char *plan); /* by plan; NULL for none */
-const struct kwb_rule *kwb_plan_match_rule(const struct kwb_plan *plan,
-    const char *method,
-    const char *path); /* first that matches; NULL for none */
+    const struct kwb_lists *lists, const char *plan);
+
+/* The first rule that matches a call; NULL for none. */
+const struct kwb_rule *kwb_plan_match_rule(
+    const struct kwb_plan *plan, const char *method, const char *path);
+
+/* Appends differing entries, "-" old and "+" new, and returns their number. */
 int kwb_lists_diff(const struct kwb_lists *from, const struct kwb_lists *to,
-    struct kwb_buf *out); /* number of differing entries */
+    struct kwb_buf *out);
+
+/*
+ * Three-way merge, entry by entry. KWB_ERR_LISTS_CONFLICT, with a description
+ * appended to conflicts, where both sides changed an entry differently.
+ */
 int kwb_lists_merge(struct kwb_lists **merged, const struct kwb_lists *base,
     const struct kwb_lists *theirs, const struct kwb_lists *ours,
-    struct kwb_buf *conflicts); /* three-way, entry by entry */
+    struct kwb_buf *conflicts);
+
+/* Reads the lists from the table; empty ones before the first write. */
+int kwb_lists_fetch(
+    const struct kwb_platform *platform, struct kwb_lists **lists);
 
-int kwb_lists_fetch(const struct kwb_platform *platform,
-    struct kwb_lists **lists); /* from the table; empty before the first */
+/* Reads an older revision; KWB_ERR_PLATFORM_MISSING if it was not kept. */
 int kwb_lists_fetch_revision(const struct kwb_platform *platform,
-    uint64_t revision, struct kwb_lists **lists); /* from the history */
+    uint64_t revision, struct kwb_lists **lists);
+
+/*
+ * Merges an edit, begun from ours->revision, with later ones and writes the
+ * result; sets the revision then in force. KWB_ERR_LISTS_CONFLICT with
+ * conflicts, KWB_ERR_LISTS_INVALID with faults, or a KWB_ERR_PLATFORM_ number
+ * after repeated tries.
+ */
 int kwb_lists_apply(const struct kwb_platform *platform,
     const struct kwb_lists *ours, uint64_t *revision, struct kwb_buf *conflicts,
-    struct kwb_faults *faults); /* writes an edit, merged with later ones */
-
-/* The newest lists this process knows; the revision only rises (RCU). */
-int kwb_current_lists_init(void);	      /* before any thread reads */
-void kwb_current_lists_finish(void);	      /* after the last reader */
-void kwb_current_lists_register_thread(void); /* each thread that reads, once */
-void kwb_current_lists_unregister_thread(void); /* before such a thread ends */
-int kwb_current_lists_update(const char *text, size_t length_bytes,
-    uint64_t revision);			   /* 1 when taken, 0 when not newer */
-uint64_t kwb_current_lists_revision(void); /* 0 before the first */
-const struct kwb_lists *kwb_current_lists_read_lock(
-    void);				  /* NULL before the first */
-void kwb_current_lists_read_unlock(void); /* ends a hold */
-int kwb_current_lists_text(struct kwb_buf *out,
-    uint64_t *revision); /* the document as it was offered */
+    struct kwb_faults *faults);
+
+/*
+ * The newest lists that this process knows. Readers use RCU and never wait for
+ * an update; the revision never decreases.
+ */
+int kwb_current_lists_init(void);		/* before any thread reads */
+void kwb_current_lists_finish(void);		/* after the last reader */
+void kwb_current_lists_register_thread(void);	/* before a thread reads */
+void kwb_current_lists_unregister_thread(void); /* before that thread ends */
+
+/*
+ * Takes a document with a higher revision: 1 if taken, 0 if it is not newer,
+ * KWB_ERR_LISTS_INVALID or KWB_ERR_MEMORY.
+ */
+int kwb_current_lists_update(
+    const char *text, size_t length_bytes, uint64_t revision);
+uint64_t kwb_current_lists_revision(void); /* 0 before the first update */
+
+/* The lists, valid until the read is unlocked; NULL before the first update. */
+const struct kwb_lists *kwb_current_lists_read_lock(void);
+void kwb_current_lists_read_unlock(void);
+
+/* Appends the document as received; KWB_ERR_LISTS_NONE before the first. */
+int kwb_current_lists_text(struct kwb_buf *out, uint64_t *revision);
 
 /* ---- HTTP client ------------------------------------------------------ */
 
@@ -460,34 +512,57 @@
 
 /* ---- Member: subsets and leases --------------------------------------- */
 
-uint64_t kwb_hash(
-    const char *text, uint64_t seed); /* of text, for rendezvous */
+/*
+ * Which agents an entry connects to, and leases with fencing tokens in the
+ * platform's table. Agents are chosen by rendezvous hashing: each VM's rank
+ * follows from names alone, so that a VM that comes or goes moves few others.
+ */
+
+uint64_t kwb_hash(const char *text, uint64_t seed); /* XXH64 of a text */
+
+/*
+ * Chooses up to wanted agents of each pool for the entry self, spread over
+ * failure domains. Writes indices into vms->vms and returns their number.
+ */
 unsigned kwb_subset_select(const struct kwb_vms *vms, const char *self,
     const char *failure_domain, unsigned wanted, uint32_t *chosen,
-    unsigned chosen_max); /* indices into vms of the agents to connect to */
+    unsigned chosen_max);
 
+/*
+ * Chooses the home agents of a plan: those of its pool that hold its allowance.
+ * Writes indices into vms->vms and returns their number.
+ */
 unsigned kwb_home_select(const struct kwb_vms *vms, const char *pool,
-    const char *plan, unsigned wanted, uint32_t *chosen,
-    unsigned chosen_max); /* the agents that hold a plan's allowance */
+    const char *plan, unsigned wanted, uint32_t *chosen, unsigned chosen_max);
 
 struct kwb_lease {
-	char name[KWB_KEY_MAX_BYTES];
-	char holder[KWB_NAME_MAX_BYTES];
-	uint64_t incarnation;
-	uint64_t fencing_token; /* valid while held */
-	uint64_t renewals;
-	uint64_t seen_revision;	   /* another's row, as last seen */
-	uint64_t seen_deadline_ns; /* lapsed if unchanged until then */
+	char name[KWB_KEY_MAX_BYTES];	 /* key of its row in the table */
+	char holder[KWB_NAME_MAX_BYTES]; /* name that this process writes */
+	uint64_t incarnation;		 /* start of this process */
+	uint64_t fencing_token;		 /* valid while held */
+	uint64_t renewals;		 /* writes of the row so far */
+	uint64_t seen_revision;		 /* of the row while another holds it */
+	uint64_t seen_deadline_ns;	 /* expired if unchanged until then */
 };
 
+/* Prepares to try for a lease; nothing is written yet. */
 void kwb_lease_init(struct kwb_lease *lease, const char *name,
-    const char *holder, uint64_t incarnation); /* names lease and holder */
-int kwb_lease_acquire(struct kwb_lease *lease,
-    const struct kwb_platform *platform); /* acquire or renew */
-void kwb_lease_release(struct kwb_lease *lease,
-    const struct kwb_platform *platform); /* gives it up */
+    const char *holder, uint64_t incarnation);
+
+/*
+ * Acquires the lease or renews it. KWB_ERR_PLATFORM_CONFLICT while another
+ * holds it; after any other error it is not known whether it is held.
+ */
+int kwb_lease_acquire(
+    struct kwb_lease *lease, const struct kwb_platform *platform);
+
+/* Gives the lease up, if it is held; without the platform it expires. */
+void kwb_lease_release(
+    struct kwb_lease *lease, const struct kwb_platform *platform);
+
+/* Reads the highest token given out for a lease; 0 if it was never held. */
 int kwb_lease_read_token(const struct kwb_platform *platform, const char *name,
-    uint64_t *fencing_token); /* highest token ever given out */
+    uint64_t *fencing_token);
 
 /* ---- Limit: shares of an allowance, retry budget ----------------------- */
 
@@ -554,55 +629,73 @@
 int kwb_policy_parse(
     enum kwb_policy *policy, const char *name); /* by name; empty is kwb */
 
-/* ---- Call: outcomes, keys, journal ------------------------------------- */
+/* ---- Call: outcomes, keys, tokens --------------------------------------- */
+
+/*
+ * What a caller is told about its request, the keys under which an agent runs a
+ * request at most once, and the tokens of a generation.
+ */
 
 enum kwb_outcome {
-	KWB_OUTCOME_RAN = 1,
-	KWB_OUTCOME_NOT_RUN = 2,
-	KWB_OUTCOME_UNKNOWN = 3,
-	KWB_OUTCOME_PARTIAL = 4 /* generation broke off; resumable */
+	KWB_OUTCOME_RAN = 1,	 /* it was run to its end */
+	KWB_OUTCOME_NOT_RUN = 2, /* it surely was not run and never will be */
+	KWB_OUTCOME_UNKNOWN = 3, /* it may have been run */
+	KWB_OUTCOME_PARTIAL = 4	 /* generation broke off; resumable */
 };
 
 const char *kwb_outcome_name(enum kwb_outcome outcome); /* as callers see it */
 
+/* Ties a key to the one agent process that may run it. */
 struct kwb_pin {
-	char vm[KWB_NAME_MAX_BYTES];
-	uint64_t incarnation;
-	uint64_t minted_ms;
+	char vm[KWB_NAME_MAX_BYTES]; /* of the agent */
+	uint64_t incarnation;	     /* start of the agent's process */
+	uint64_t minted_ms;	     /* wall-clock time at which it was made */
 	char key[KWB_KEY_MAX_BYTES];
 };
 
-/* An entry's start. Two entries may start at the same moment. */
+/* An entry process. Two entries may start at the same moment. */
 struct kwb_origin {
 	const char *vm;
-	uint64_t incarnation;
+	uint64_t incarnation; /* start of the process */
 };
 
+/* Writes the key of a plain call, unique among all entries. */
 void kwb_call_key_print(char *key, size_t room_bytes,
-    const struct kwb_origin *origin, const char *plan,
-    uint64_t number); /* unique among all entries */
+    const struct kwb_origin *origin, const char *plan, uint64_t number);
+
+/* Writes the key of one start of a generation. */
 void kwb_generation_key_print(char *key, size_t room_bytes,
-    const struct kwb_origin *origin, const char *name,
-    unsigned starts); /* of one start of a generation */
-int kwb_ticket_print(
-    const struct kwb_pin *pin, struct kwb_buf *out);	     /* a pin as text */
-int kwb_ticket_parse(struct kwb_pin *pin, const char *text); /* text as a pin */
-int kwb_pin_claim(const struct kwb_platform *platform, const char *plan,
-    struct kwb_pin *pin); /* insert if absent, else read the first pin */
+    const struct kwb_origin *origin, const char *name, unsigned starts);
+
+/* Appends a pin as the ticket text that a caller sends back. */
+int kwb_ticket_print(const struct kwb_pin *pin, struct kwb_buf *out);
+
+/* Reads a ticket; KWB_ERR_ARGUMENT if it is malformed. */
+int kwb_ticket_parse(struct kwb_pin *pin, const char *text);
+
+/*
+ * Stores the pin of a caller's key in the table, or reads the one that is
+ * already there into pin. A KWB_ERR_ number if neither is certain.
+ */
+int kwb_pin_claim(
+    const struct kwb_platform *platform, const char *plan, struct kwb_pin *pin);
 
 struct kwb_tokens {
 	uint32_t count;
 	uint32_t capacity;
-	char **text;
-	uint64_t *version; /* of each token */
+	char **text;	   /* of each token */
+	uint64_t *version; /* of the weights that made each token */
 };
 
-void kwb_tokens_init(struct kwb_tokens *tokens);   /* none yet */
+void kwb_tokens_init(struct kwb_tokens *tokens);   /* no tokens */
 void kwb_tokens_finish(struct kwb_tokens *tokens); /* frees them */
-int kwb_tokens_add(struct kwb_tokens *tokens, const char *text,
-    uint64_t version); /* appends one */
-uint64_t kwb_tokens_oldest_version(
-    const struct kwb_tokens *tokens); /* oldest version; UINT64_MAX for none */
+
+/* Appends a token; KWB_ERR_MEMORY on failure. */
+int kwb_tokens_add(
+    struct kwb_tokens *tokens, const char *text, uint64_t version);
+
+/* The oldest weight version among the tokens; UINT64_MAX for none. */
+uint64_t kwb_tokens_oldest_version(const struct kwb_tokens *tokens);
 
 /* ---- Rollout: order of a step's work, hedging -------------------------- */
 
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -164,30 +164,30 @@
 #define KWB_LOG_LINES_PER_S 400 /* further lines are counted, not written */
 
 /* Platform */
-#define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS)
-#define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)
+#define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS) /* between reads of the lists */
+#define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)   /* between reads of the VM list */
 #define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS)
 #define KWB_HOME_AGENTS_MIN 32
 #define KWB_HOME_UNITS 8
 #define KWB_DEMAND_NS (60000 * KWB_MS_NS)
 #define KWB_SHARE_GONE_NS (10000 * KWB_MS_NS)
-#define KWB_CAS_TRIES 8
+#define KWB_CAS_TRIES 8 /* of a compare-and-set that meets another writer */
 
 /* Requests */
-#define KWB_CALL_TIMEOUT_MS 30000
-#define KWB_STEP_TIMEOUT_MS 540000
-#define KWB_JOURNAL_JOBS_MAX 16384
-#define KWB_JOB_RETENTION_MS 600000
-#define KWB_JOURNAL_MAX_BYTES (48u << 20)
-#define KWB_JOB_ATTACHMENTS_MAX 4
-#define KWB_JOB_ORPHAN_NS (10000 * KWB_MS_NS)
-#define KWB_TICKET_TTL_MS 300000
+#define KWB_CALL_TIMEOUT_MS 30000   /* when neither caller nor rule names one */
+#define KWB_STEP_TIMEOUT_MS 540000  /* of one pull of a step's samples */
+#define KWB_JOURNAL_JOBS_MAX 16384  /* jobs that an agent remembers */
+#define KWB_JOB_RETENTION_MS 600000 /* a finished job is remembered */
+#define KWB_JOURNAL_MAX_BYTES (48u << 20) /* of answers kept by an agent */
+#define KWB_JOB_ATTACHMENTS_MAX 4	  /* requests that wait for one job */
+#define KWB_JOB_ORPHAN_NS (10000 * KWB_MS_NS) /* unattached until cancelled */
+#define KWB_TICKET_TTL_MS 300000	      /* a key is refused when older */
 #define KWB_RETRY_PERCENT 10
 #define KWB_RETRY_BURST 20
-#define KWB_QUEUE_POLL_NS (5 * KWB_MS_NS)
-#define KWB_PEER_BUSY_NS (20 * KWB_MS_NS)
-#define KWB_PEER_TRIP_NS (1000 * KWB_MS_NS)
-#define KWB_PEER_TRIP_FAILURES 3
+#define KWB_QUEUE_POLL_NS (5 * KWB_MS_NS)   /* between tries to start */
+#define KWB_PEER_BUSY_NS (20 * KWB_MS_NS)   /* not chosen after it was busy */
+#define KWB_PEER_TRIP_NS (1000 * KWB_MS_NS) /* not chosen after failures */
+#define KWB_PEER_TRIP_FAILURES 3 /* in a row, before it is not chosen */
 
 /* Weights */
 #define KWB_LEASE_MS 6000
