--- a/include/kwb.h
+++ b/include/kwb.h
@@ -638,7 +638,7 @@
 
 enum kwb_outcome {
 	KWB_OUTCOME_RAN = 1,	 /* it was run to its end */
-	KWB_OUTCOME_NOT_RUN = 2, /* it surely was not run and never will be */
+	KWB_OUTCOME_NOT_RUN = 2, /* it was not run and will not be */
 	KWB_OUTCOME_UNKNOWN = 3, /* it may have been run */
 	KWB_OUTCOME_PARTIAL = 4	 /* generation broke off; resumable */
 };
@@ -653,17 +653,17 @@
 	char key[KWB_KEY_MAX_BYTES];
 };
 
-/* An entry process. Two entries may start at the same moment. */
+/* An entry process; the VM tells apart two that start at the same moment. */
 struct kwb_origin {
 	const char *vm;
 	uint64_t incarnation; /* start of the process */
 };
 
-/* Writes the key of a plain call, unique among all entries. */
+/* Writes the key of a plain call; the number is unique in the process. */
 void kwb_call_key_print(char *key, size_t room_bytes,
     const struct kwb_origin *origin, const char *plan, uint64_t number);
 
-/* Writes the key of one start of a generation. */
+/* Writes the key of a start of a generation, after so many earlier starts. */
 void kwb_generation_key_print(char *key, size_t room_bytes,
     const struct kwb_origin *origin, const char *name, unsigned starts);
 
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -39,6 +39,10 @@
 static void answer_set(
     struct call_answer *answer, enum kwb_outcome outcome, int error);
 
+/*
+ * Runs a call to its outcome, with retries until its deadline. The caller frees
+ * the answer's body.
+ */
 void
 call_run(struct kwb_entry *entry, struct call *call, struct call_answer *answer)
 {
@@ -56,7 +60,7 @@
 	inbox_init(&dispatch.inbox);
 	kwb_budget_try(&gate->budget);
 	do {
-		/* If all were full nothing was sent: no retry is spent. */
+		/* A refusal for lack of room costs no retry: nothing ran. */
 		was_full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
 		if (is_retry && !was_full && !kwb_budget_retry(&gate->budget))
@@ -170,6 +174,11 @@
 	return kwb_link_send(&dispatch->entry->loop, target->link, &frame);
 }
 
+/*
+ * Waits for the answer to the current request. If the link is lost, the agent
+ * is asked over a new one, unless the call is idempotent and can just be
+ * repeated.
+ */
 static void
 wait_for_outcome(struct dispatch *dispatch)
 {
--- a/src/call/inbox.c
+++ b/src/call/inbox.c
@@ -79,7 +79,10 @@
 		pthread_mutex_destroy(&registry->shards[i].lock);
 }
 
-/* Opens a request on a link and returns its id; 0 if out of memory. */
+/*
+ * Opens a request on a link and returns its id; 0 if out of memory. Its events
+ * go to the inbox and name the owner, which may be NULL.
+ */
 uint64_t
 registry_open_request(
     struct registry *registry, struct inbox *inbox, uint64_t link, void *owner)
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -56,6 +56,7 @@
 	pthread_mutex_unlock(&shard->lock);
 }
 
+/* The job of a key in its locked shard; NULL for none. */
 struct job *
 journal_find(struct journal_shard *shard, const char *key)
 {
@@ -67,6 +68,7 @@
 	return NULL;
 }
 
+/* Adds a job without a request to a locked shard; NULL if out of memory. */
 struct job *
 journal_add(
     struct journal *journal, struct journal_shard *shard, const char *key)
--- a/src/lists/lists.c
+++ b/src/lists/lists.c
@@ -10,6 +10,7 @@
 #define RULE_TIMEOUT_MS_DEFAULT 10000
 #define MAX_TOKENS_DEFAULT 4096
 
+/* Optional fields whose key in the document is the name of the member. */
 #define TEXT(type, field) CYAML_FIELD_STRING(#field, OPT, type, field, 0)
 #define UINT(type, field) CYAML_FIELD_UINT(#field, OPT, type, field)
 
--- a/src/lists/store.c
+++ b/src/lists/store.c
@@ -167,6 +167,7 @@
 	return error;
 }
 
+/* If this fails, the next writer saves the copy. */
 static void
 save_history(const struct kwb_platform *platform, uint64_t revision,
     const struct kwb_buf *text)
