--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -1,6 +1,6 @@
 /*
- * A generation on an agent: start, progress, end. Whatever breaks it off, the
- * tokens so far stay here and the next start resumes after them.
+ * A generation on an agent: start, progress, end. If it is interrupted, its
+ * tokens are kept here and the next start resumes after them.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,9 +10,9 @@
 
 static int generation_send(
     struct kwb_entry *entry, struct generation *generation);
-static void generation_progress(
+static void generation_add_tokens(
     struct generation *generation, const Kwb__Wire__Progress *progress);
-static void generation_break(
+static void generation_interrupt(
     struct kwb_entry *entry, struct generation *generation, int error);
 
 void
@@ -32,7 +32,7 @@
 	kwb_tokens_finish(&generation->tokens);
 }
 
-/* Routes and starts; an error means that nothing was sent. */
+/* Chooses an agent and starts there; on error nothing was sent. */
 int
 generation_start(struct kwb_entry *entry, struct generation *generation)
 {
@@ -46,9 +46,9 @@
 	};
 	int error;
 
-	/* Never the key of an earlier start: that copy went its own way. */
-	kwb_key_start(generation->key, sizeof(generation->key), &entry->origin,
-	    generation->name, generation->starts);
+	/* A key of its own: an agent may still run an earlier start. */
+	kwb_generation_key_print(generation->key, sizeof(generation->key),
+	    &entry->origin, generation->name, generation->starts);
 	error = peers_pick(entry, &route, generation->plan, generation->model,
 	    generation->key, &generation->target);
 	if (error == KWB_ERR_ROUTE_NONE && route.exclude >= 0) {
@@ -59,13 +59,16 @@
 	return error ? error : generation_send(entry, generation);
 }
 
-/* Attaches to what a named agent holds; it replays that from the start. */
+/*
+ * Attaches to a sample that the agent on that VM already holds; the agent sends
+ * its tokens again from the first.
+ */
 int
 generation_attach(struct kwb_entry *entry, struct generation *generation,
     const char *vm, const char *key)
 {
-	int error = peers_target(entry, vm, generation->plan, generation->model,
-	    &generation->target);
+	int error = peers_reserve(entry, vm, generation->plan,
+	    generation->model, &generation->target);
 
 	if (error != 0)
 		return error;
@@ -75,8 +78,9 @@
 	return generation_send(entry, generation);
 }
 
+/* Applies an event of the inbox; those of other requests are ignored. */
 void
-generation_event(struct kwb_entry *entry, struct generation *generation,
+generation_handle_event(struct kwb_entry *entry, struct generation *generation,
     const struct event *event)
 {
 	const Kwb__Wire__Done *done;
@@ -85,27 +89,30 @@
 	    event->request != generation->request)
 		return;
 	if (event->kind == EVENT_LINK_LOST) {
-		generation_break(entry, generation, KWB_ERR_WIRE_CLOSED);
+		generation_interrupt(entry, generation, KWB_ERR_WIRE_CLOSED);
 		return;
 	}
 	if (event->frame->body_case == KWB__WIRE__FRAME__BODY_PROGRESS) {
-		generation_progress(generation, event->frame->progress);
+		generation_add_tokens(generation, event->frame->progress);
 		return;
 	}
 	if (event->frame->body_case != KWB__WIRE__FRAME__BODY_DONE)
 		return;
 	done = event->frame->done;
 	if (done->outcome != KWB_OUTCOME_RAN) {
-		generation_break(entry, generation, done->error);
+		generation_interrupt(entry, generation, done->error);
 		return;
 	}
-	registry_close(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request);
 	peers_release(entry, &generation->target, 0);
 	generation->state = GENERATION_DONE;
 	generation->error = 0;
 }
 
-/* Ends interest; with keep the agent goes on, for a later attempt. */
+/*
+ * Detaches from a running generation. With keep the agent goes on, for a later
+ * attempt; otherwise it cancels the generation.
+ */
 void
 generation_stop(
     struct kwb_entry *entry, struct generation *generation, bool keep)
@@ -118,7 +125,7 @@
 	cancel.request = generation->request;
 	cancel.keep = keep;
 	kwb_link_send(&entry->loop, generation->target.link, &frame);
-	generation_break(entry, generation, KWB_ERR_CALL_CANCELLED);
+	generation_interrupt(entry, generation, KWB_ERR_CALL_CANCELLED);
 }
 
 static int
@@ -130,12 +137,12 @@
 	struct target *target = &generation->target;
 	int error;
 
-	generation->request = registry_open(
+	generation->request = registry_open_request(
 	    &entry->registry, generation->inbox, target->link, generation);
 	run.request = generation->request;
 	run.key = generation->key;
 	run.plan = (char *)generation->plan;
-	run.lists_revision = kwb_current_revision();
+	run.lists_revision = kwb_current_lists_revision();
 	run.agent_incarnation = target->incarnation;
 	run.budget_ms = (uint32_t)kwb_clock_left_ms(generation->deadline_ns);
 	run.slack_ms =
@@ -154,7 +161,7 @@
 	run.slot = generation->slot;
 	error = kwb_link_send(&entry->loop, target->link, &frame);
 	if (error != 0) {
-		registry_close(&entry->registry, generation->request);
+		registry_close_request(&entry->registry, generation->request);
 		peers_release(entry, target, error);
 		return error;
 	}
@@ -166,9 +173,9 @@
 	return 0;
 }
 
-/* Tokens not yet known; an agent may replay from the start. */
+/* Adds the new tokens; an agent may send known ones again. */
 static void
-generation_progress(
+generation_add_tokens(
     struct generation *generation, const Kwb__Wire__Progress *progress)
 {
 	size_t i, span = 0;
@@ -190,8 +197,9 @@
 	}
 }
 
+/* Ends this start; the next one avoids the agent, if there is another. */
 static void
-generation_break(
+generation_interrupt(
     struct kwb_entry *entry, struct generation *generation, int error)
 {
 	kwb_log(KWB_LOG_INFO, "call",
@@ -201,6 +209,6 @@
 	generation->avoid = generation->target.peer;
 	generation->error = error;
 	generation->state = GENERATION_PENDING;
-	registry_close(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request);
 	peers_release(entry, &generation->target, error);
 }
--- a/src/call/inbox.c
+++ b/src/call/inbox.c
@@ -1,13 +1,14 @@
 /*
- * Inboxes and the registry of open requests. The link thread looks a request
- * up by id and posts to the inbox of the thread that waits for it.
+ * Inboxes and the registry of open requests. The link thread finds a request by
+ * its id and posts an event to the inbox of the thread that waits for it.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "../entry/entry.h"
 
-static struct registry_shard *shard_of(struct registry *registry, uint64_t id);
+static struct registry_shard *shard_for_id(
+    struct registry *registry, uint64_t id);
 static struct request *shard_find(struct registry_shard *shard, uint64_t id);
 static void inbox_post(struct inbox *inbox, enum event_kind kind,
     const struct request *request, Kwb__Wire__Frame *frame);
@@ -20,7 +21,7 @@
 	STAILQ_INIT(&inbox->events);
 }
 
-/* No request may still be open on the inbox. */
+/* All requests of the inbox must have been closed. */
 void
 inbox_finish(struct inbox *inbox)
 {
@@ -28,13 +29,13 @@
 
 	while ((event = STAILQ_FIRST(&inbox->events)) != NULL) {
 		STAILQ_REMOVE_HEAD(&inbox->events, next);
-		event_free(event);
+		inbox_event_free(event);
 	}
 	pthread_cond_destroy(&inbox->changed);
 	pthread_mutex_destroy(&inbox->lock);
 }
 
-/* The next event, or NULL at the deadline. */
+/* Waits for the next event; NULL at the deadline. The caller frees it. */
 struct event *
 inbox_wait(struct inbox *inbox, uint64_t deadline_ns)
 {
@@ -51,7 +52,7 @@
 }
 
 void
-event_free(struct event *event)
+inbox_event_free(struct event *event)
 {
 	kwb_frame_free(event->frame);
 	free(event);
@@ -78,8 +79,12 @@
 		pthread_mutex_destroy(&registry->shards[i].lock);
 }
 
+/*
+ * Opens a request on a link and returns its id; 0 if out of memory. Its events
+ * go to the inbox and name the owner, which may be NULL.
+ */
 uint64_t
-registry_open(
+registry_open_request(
     struct registry *registry, struct inbox *inbox, uint64_t link, void *owner)
 {
 	struct request *request = calloc(1, sizeof(*request));
@@ -91,7 +96,7 @@
 	request->link = link;
 	request->owner = owner;
 	request->inbox = inbox;
-	shard = shard_of(registry, request->id);
+	shard = shard_for_id(registry, request->id);
 	pthread_mutex_lock(&shard->lock);
 	TAILQ_INSERT_HEAD(&shard->requests, request, next);
 	pthread_mutex_unlock(&shard->lock);
@@ -99,9 +104,9 @@
 }
 
 void
-registry_close(struct registry *registry, uint64_t id)
+registry_close_request(struct registry *registry, uint64_t id)
 {
-	struct registry_shard *shard = shard_of(registry, id);
+	struct registry_shard *shard = shard_for_id(registry, id);
 	struct request *request;
 
 	pthread_mutex_lock(&shard->lock);
@@ -112,11 +117,12 @@
 	free(request);
 }
 
-/* Takes over the frame; one for a request no longer open is dropped. */
+/* Delivers a frame to its request, or frees it if that is not open. */
 void
-registry_post(struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame)
+registry_deliver(
+    struct registry *registry, uint64_t id, Kwb__Wire__Frame *frame)
 {
-	struct registry_shard *shard = shard_of(registry, id);
+	struct registry_shard *shard = shard_for_id(registry, id);
 	struct request *request;
 
 	pthread_mutex_lock(&shard->lock);
@@ -128,6 +134,7 @@
 		kwb_frame_free(frame);
 }
 
+/* Posts the loss of a link to every request on it. */
 void
 registry_link_lost(struct registry *registry, uint64_t link)
 {
@@ -147,7 +154,7 @@
 }
 
 static struct registry_shard *
-shard_of(struct registry *registry, uint64_t id)
+shard_for_id(struct registry *registry, uint64_t id)
 {
 	return &registry->shards[id % KWB_SHARDS];
 }
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -1,6 +1,7 @@
 /*
- * Journal of an agent: what became of each key under this incarnation. Keys
- * are kept in shards, each under its own lock.
+ * Journal of an agent, in memory: the jobs of this process by key, so that a
+ * repeated request finds its job instead of running again. Keys are spread over
+ * shards, each under its own lock.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -38,6 +39,7 @@
 	pthread_mutex_destroy(&journal->fences_lock);
 }
 
+/* Locks the shard that holds a key. */
 struct journal_shard *
 journal_lock(struct journal *journal, const char *key)
 {
@@ -54,6 +56,7 @@
 	pthread_mutex_unlock(&shard->lock);
 }
 
+/* The job of a key in its locked shard; NULL for none. */
 struct job *
 journal_find(struct journal_shard *shard, const char *key)
 {
@@ -65,6 +68,7 @@
 	return NULL;
 }
 
+/* Adds a job without a request to a locked shard; NULL if out of memory. */
 struct job *
 journal_add(
     struct journal *journal, struct journal_shard *shard, const char *key)
@@ -92,19 +96,22 @@
 }
 
 /*
- * A full journal refuses new keys: it never forgets one early, because then a
- * retry could run again.
+ * New keys are refused while the journal is full. No call is forgotten early to
+ * make room, because a retry could then run it again.
  */
 bool
-journal_full(const struct journal *journal)
+journal_is_full(const struct journal *journal)
 {
-	return atomic_load(&journal->count) >= KWB_JOBS_MAX ||
-	    atomic_load(&journal->kept_bytes) >= KWB_SAMPLE_KEEP_BYTES;
+	return atomic_load(&journal->count) >= KWB_JOURNAL_JOBS_MAX ||
+	    atomic_load(&journal->kept_bytes) >= KWB_JOURNAL_MAX_BYTES;
 }
 
-/* Accounts for a finished job's memory; called under its shard's lock. */
+/*
+ * Counts a finished job's memory and sets the time at which it is forgotten.
+ * Called under its shard's lock.
+ */
 void
-journal_keep(struct journal *journal, struct job *job)
+journal_retain(struct journal *journal, struct job *job)
 {
 	size_t bytes = job->body.room_bytes;
 	uint32_t i;
@@ -113,16 +120,17 @@
 		bytes += strlen(job->tokens.text[i]) + 1 + sizeof(char *) +
 		    sizeof(uint64_t);
 	job->kept_bytes = bytes;
-	job->forget_ns = kwb_clock_now_ns() + KWB_JOB_KEEP_MS * KWB_MS_NS;
+	job->forget_ns = kwb_clock_now_ns() + KWB_JOB_RETENTION_MS * KWB_MS_NS;
 	atomic_fetch_add(&journal->kept_bytes, bytes);
 }
 
 /*
- * Raises a plan's step fence. Finished samples of earlier steps are dropped
- * by handle_expired; an attempt below the fence is refused.
+ * Raises a plan's fence to a step and attempt. KWB_ERR_CALL_FENCED for a lower
+ * attempt of the same step. Samples of earlier steps are removed by
+ * handle_expired().
  */
 int
-journal_fence(
+journal_raise_fence(
     struct journal *journal, const char *plan, uint64_t step, uint32_t attempt)
 {
 	struct step_fence *fence = NULL;
@@ -147,46 +155,50 @@
 	return error;
 }
 
+/* Attaches a request to a job's output; false if it has no room for more. */
 bool
 job_attach(
     struct job *job, uint64_t link, uint64_t request, uint32_t sent_tokens)
 {
-	struct attachment *to;
+	struct attachment *attachment;
 
-	if (job->attached == KWB_ATTACH_MAX)
+	if (job->attached == KWB_JOB_ATTACHMENTS_MAX)
 		return false;
-	to = &job->attachments[job->attached++];
-	to->link = link;
-	to->request = request;
-	to->sent_tokens = sent_tokens;
+	attachment = &job->attachments[job->attached++];
+	attachment->link = link;
+	attachment->request = request;
+	attachment->sent_tokens = sent_tokens;
 	job->orphan_ns = 0;
 	return true;
 }
 
-/* Ends the link's interest: in one request, or in all when request is 0. */
+/*
+ * Detaches a request of the link, or all of them if request is 0. Returns
+ * whether any was attached.
+ */
 bool
 job_detach(struct job *job, uint64_t link, uint64_t request)
 {
-	struct attachment *at;
+	struct attachment *attachment;
 	unsigned i = 0;
 	bool found = false;
 
 	while (i < job->attached) {
-		at = &job->attachments[i];
-		if (at->link != link ||
-		    (request != 0 && at->request != request)) {
+		attachment = &job->attachments[i];
+		if (attachment->link != link ||
+		    (request != 0 && attachment->request != request)) {
 			i++;
 			continue;
 		}
-		*at = job->attachments[--job->attached];
+		*attachment = job->attachments[--job->attached];
 		found = true;
 	}
 	if (found && job->attached == 0)
-		job->orphan_ns = kwb_clock_now_ns() + KWB_ORPHAN_NS;
+		job->orphan_ns = kwb_clock_now_ns() + KWB_JOB_ORPHAN_NS;
 	return found;
 }
 
-/* The place of a sample in its step; NULL for other jobs. */
+/* The position of a sample in its step; NULL for other jobs. */
 const Kwb__Wire__Slot *
 job_slot(const struct job *job)
 {
--- a/src/call/tokens.c
+++ b/src/call/tokens.c
@@ -1,12 +1,12 @@
 /*
- * Tokens of a generation with the weight version that made each.
+ * Tokens of a generation, each with the version of the weights that made it.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "kwb.h"
 
-#define FIRST_ROOM 64
+#define INITIAL_CAPACITY 64
 
 void
 kwb_tokens_init(struct kwb_tokens *tokens)
@@ -29,20 +29,21 @@
 int
 kwb_tokens_add(struct kwb_tokens *tokens, const char *text, uint64_t version)
 {
-	uint32_t room = tokens->room ? tokens->room * 2 : FIRST_ROOM;
+	uint32_t capacity =
+	    tokens->capacity ? tokens->capacity * 2 : INITIAL_CAPACITY;
 	void *grown;
 
-	if (tokens->count == tokens->room) {
-		grown = realloc(tokens->text, room * sizeof(*tokens->text));
+	if (tokens->count == tokens->capacity) {
+		grown = realloc(tokens->text, capacity * sizeof(*tokens->text));
 		if (grown == NULL)
 			return KWB_ERR_MEMORY;
 		tokens->text = grown;
-		grown =
-		    realloc(tokens->version, room * sizeof(*tokens->version));
+		grown = realloc(
+		    tokens->version, capacity * sizeof(*tokens->version));
 		if (grown == NULL)
 			return KWB_ERR_MEMORY;
 		tokens->version = grown;
-		tokens->room = room;
+		tokens->capacity = capacity;
 	}
 	tokens->text[tokens->count] = strdup(text);
 	if (tokens->text[tokens->count] == NULL)
@@ -52,9 +53,8 @@
 	return 0;
 }
 
-/* The oldest version among the tokens; UINT64_MAX when there are none. */
 uint64_t
-kwb_tokens_oldest(const struct kwb_tokens *tokens)
+kwb_tokens_oldest_version(const struct kwb_tokens *tokens)
 {
 	uint64_t oldest = UINT64_MAX;
 	uint32_t i;
--- a/src/lists/lists.c
+++ b/src/lists/lists.c
@@ -1,5 +1,5 @@
 /*
- * The two lists: schema, loading, printing, look-up.
+ * The two lists: schema of the YAML document, parsing, printing and look-up.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -7,9 +7,10 @@
 #include "../core/yaml.h"
 
 #define OPT CYAML_FLAG_OPTIONAL
-#define CALL_TIMEOUT_MS_DEFAULT 10000
+#define RULE_TIMEOUT_MS_DEFAULT 10000
 #define MAX_TOKENS_DEFAULT 4096
 
+/* Optional fields whose key in the document is the name of the member. */
 #define TEXT(type, field) CYAML_FIELD_STRING(#field, OPT, type, field, 0)
 #define UINT(type, field) CYAML_FIELD_UINT(#field, OPT, type, field)
 
@@ -84,7 +85,7 @@
 static void fill_defaults(struct kwb_lists *lists);
 
 int
-kwb_lists_parse(struct kwb_lists **lists, const struct kwb_source *source,
+kwb_lists_parse(struct kwb_lists **lists, const struct kwb_lists_source *source,
     struct kwb_faults *faults)
 {
 	struct kwb_yaml yaml;
@@ -120,7 +121,7 @@
 }
 
 void
-kwb_lists_unload(struct kwb_lists *lists)
+kwb_lists_free(struct kwb_lists *lists)
 {
 	struct kwb_faults faults = {0};
 	struct kwb_yaml yaml;
@@ -133,7 +134,7 @@
 }
 
 const struct kwb_plan *
-kwb_lists_plan(const struct kwb_lists *lists, const char *name)
+kwb_lists_find_plan(const struct kwb_lists *lists, const char *name)
 {
 	uint32_t i;
 
@@ -144,7 +145,7 @@
 }
 
 const struct kwb_allowance *
-kwb_lists_allowance(const struct kwb_lists *lists, const char *plan)
+kwb_lists_find_allowance(const struct kwb_lists *lists, const char *plan)
 {
 	uint32_t i;
 
@@ -154,9 +155,10 @@
 	return NULL;
 }
 
-/* The first rule whose method matches and whose path is a prefix. */
+/* The method must be equal; the rule's path must be a prefix of the path. */
 const struct kwb_rule *
-kwb_plan_rule(const struct kwb_plan *plan, const char *method, const char *path)
+kwb_plan_match_rule(
+    const struct kwb_plan *plan, const char *method, const char *path)
 {
 	uint32_t i;
 
@@ -183,6 +185,6 @@
 		for (j = 0; j < plan->rules_count; j++)
 			if (plan->rules[j].timeout_ms == 0)
 				plan->rules[j].timeout_ms =
-				    CALL_TIMEOUT_MS_DEFAULT;
+				    RULE_TIMEOUT_MS_DEFAULT;
 	}
 }
--- a/src/lists/merge.c
+++ b/src/lists/merge.c
@@ -1,6 +1,7 @@
 /*
- * Difference and three-way merge of the two lists, entry by entry. Two edits
- * of different entries both survive; two edits of one entry conflict.
+ * Difference and three-way merge of the two lists. An entry is one plan or one
+ * allowance: edits of different entries are combined, different edits of the
+ * same entry conflict. Entries are compared by their printed text.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,15 +11,15 @@
 static void plan_print(const struct kwb_plan *plan, struct kwb_buf *out);
 static void allowance_print(
     const struct kwb_allowance *allowance, struct kwb_buf *out);
-static void entry_text(const struct kwb_lists *lists, bool plans,
+static void print_entry(const struct kwb_lists *lists, bool is_plan,
     const char *name, struct kwb_buf *out);
-static uint32_t names_of(const struct kwb_lists *const *lists, unsigned count,
-    bool plans, const char **names);
+static uint32_t collect_names(const struct kwb_lists *const *lists,
+    unsigned count, bool is_plan, const char **names);
 static int merge_entries(struct kwb_lists *merged,
-    const struct kwb_lists *const *sides, bool plans,
+    const struct kwb_lists *const *sides, bool is_plan,
     struct kwb_buf *conflicts);
-static int entry_copy(struct kwb_lists *merged, const struct kwb_lists *from,
-    bool plans, const char *name);
+static int copy_entry(struct kwb_lists *merged, const struct kwb_lists *from,
+    bool is_plan, const char *name);
 
 int
 kwb_lists_diff(const struct kwb_lists *from, const struct kwb_lists *to,
@@ -29,16 +30,16 @@
 	struct kwb_buf old_text, new_text;
 	uint32_t i, count;
 	int differing = 0;
-	int plans;
+	int is_plan;
 
 	kwb_buf_init(&old_text);
 	kwb_buf_init(&new_text);
-	for (plans = 1; plans >= 0; plans--) {
-		count = names_of(sides, 2, plans != 0, names);
+	for (is_plan = 1; is_plan >= 0; is_plan--) {
+		count = collect_names(sides, 2, is_plan != 0, names);
 		for (i = 0; i < count; i++) {
 			old_text.used_bytes = new_text.used_bytes = 0;
-			entry_text(from, plans != 0, names[i], &old_text);
-			entry_text(to, plans != 0, names[i], &new_text);
+			print_entry(from, is_plan != 0, names[i], &old_text);
+			print_entry(to, is_plan != 0, names[i], &new_text);
 			if (strcmp(kwb_buf_text(&old_text),
 				kwb_buf_text(&new_text)) == 0)
 				continue;
@@ -68,23 +69,24 @@
 	(*merged)->revision = theirs->revision;
 	error = merge_entries(*merged, sides, true, conflicts);
 	if (error == 0 || error == KWB_ERR_LISTS_CONFLICT) {
-		int second = merge_entries(*merged, sides, false, conflicts);
+		int allowances_error =
+		    merge_entries(*merged, sides, false, conflicts);
 
-		error = error ? error : second;
+		error = error ? error : allowances_error;
 	}
 	if (error == 0)
 		return 0;
-	kwb_lists_unload(*merged);
+	kwb_lists_free(*merged);
 	*merged = NULL;
 	return error;
 }
 
 static int
 merge_entries(struct kwb_lists *merged, const struct kwb_lists *const *sides,
-    bool plans, struct kwb_buf *conflicts)
+    bool is_plan, struct kwb_buf *conflicts)
 {
 	const char *names[3 * KWB_PLANS_MAX];
-	uint32_t i, count = names_of(sides, 3, plans, names);
+	uint32_t i, count = collect_names(sides, 3, is_plan, names);
 	struct kwb_buf text[3];
 	const struct kwb_lists *winner;
 	int side, error = 0;
@@ -92,7 +94,8 @@
 	for (i = 0; i < count; i++) {
 		for (side = 0; side < 3; side++) {
 			kwb_buf_init(&text[side]);
-			entry_text(sides[side], plans, names[i], &text[side]);
+			print_entry(
+			    sides[side], is_plan, names[i], &text[side]);
 		}
 		const char *base = kwb_buf_text(&text[0]);
 		const char *theirs = kwb_buf_text(&text[1]);
@@ -107,7 +110,7 @@
 			error = KWB_ERR_LISTS_CONFLICT;
 		}
 		if (error == 0)
-			error = entry_copy(merged, winner, plans, names[i]);
+			error = copy_entry(merged, winner, is_plan, names[i]);
 		for (side = 0; side < 3; side++)
 			kwb_buf_finish(&text[side]);
 	}
@@ -115,17 +118,18 @@
 }
 
 static int
-entry_copy(struct kwb_lists *merged, const struct kwb_lists *from, bool plans,
+copy_entry(struct kwb_lists *merged, const struct kwb_lists *from, bool is_plan,
     const char *name)
 {
-	const struct kwb_plan *plan = kwb_lists_plan(from, name);
-	const struct kwb_allowance *allowance = kwb_lists_allowance(from, name);
+	const struct kwb_plan *plan = kwb_lists_find_plan(from, name);
+	const struct kwb_allowance *allowance =
+	    kwb_lists_find_allowance(from, name);
 	struct kwb_plan *to;
 	void *grown;
 
-	if (plans ? plan == NULL : allowance == NULL)
+	if (is_plan ? plan == NULL : allowance == NULL)
 		return 0;
-	if (!plans) {
+	if (!is_plan) {
 		grown = realloc(merged->allowances,
 		    (merged->allowances_count + 1) * sizeof(*allowance));
 		if (grown == NULL)
@@ -154,19 +158,19 @@
 	return 0;
 }
 
-/* The distinct names of all sides, in order of first appearance. */
+/* Collects the distinct names of all sides, in order of first appearance. */
 static uint32_t
-names_of(const struct kwb_lists *const *lists, unsigned count, bool plans,
-    const char **names)
+collect_names(const struct kwb_lists *const *lists, unsigned count,
+    bool is_plan, const char **names)
 {
 	uint32_t i, j, entries, used = 0;
 	unsigned side;
 
 	for (side = 0; side < count; side++) {
-		entries = plans ? lists[side]->plans_count
-				: lists[side]->allowances_count;
+		entries = is_plan ? lists[side]->plans_count
+				  : lists[side]->allowances_count;
 		for (i = 0; i < entries; i++) {
-			const char *name = plans
+			const char *name = is_plan
 			    ? lists[side]->plans[i].name
 			    : lists[side]->allowances[i].plan;
 
@@ -181,16 +185,16 @@
 }
 
 static void
-entry_text(const struct kwb_lists *lists, bool plans, const char *name,
+print_entry(const struct kwb_lists *lists, bool is_plan, const char *name,
     struct kwb_buf *out)
 {
-	const struct kwb_plan *plan = kwb_lists_plan(lists, name);
+	const struct kwb_plan *plan = kwb_lists_find_plan(lists, name);
 	const struct kwb_allowance *allowance =
-	    kwb_lists_allowance(lists, name);
+	    kwb_lists_find_allowance(lists, name);
 
-	if (plans && plan != NULL)
+	if (is_plan && plan != NULL)
 		plan_print(plan, out);
-	if (!plans && allowance != NULL)
+	if (!is_plan && allowance != NULL)
 		allowance_print(allowance, out);
 }
 
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -1,7 +1,7 @@
 /*
- * Peers of an entry: the agents of its subset, their links and what they last
- * said of themselves. Routing is decided here under the table's lock, so that
- * a choice and the place it takes are one step.
+ * Peers of an entry: the agents that it connects to and what they last reported
+ * of themselves. A peer is chosen and a slot there reserved under one lock, so
+ * that two requests can't take the same slot.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,19 +9,21 @@
 
 #include "peer.h"
 
-static bool peer_usable(const struct peer *peer, uint64_t now_ns);
-static struct peer *peer_slot(struct peers *peers, const struct kwb_vm *vm);
-static unsigned homes_in_demand(struct kwb_entry *entry,
+static bool peer_is_usable(const struct peer *peer, uint64_t now_ns);
+static struct peer *peer_find_or_add(
+    struct peers *peers, const struct kwb_vm *vm);
+static unsigned home_agents_in_demand(struct kwb_entry *entry,
     const struct kwb_vms *vms, uint32_t *chosen, unsigned chosen_max);
-static unsigned homes_of(struct kwb_entry *entry, const struct kwb_vms *vms,
-    const struct kwb_plan *plan, const struct kwb_allowance *allowance,
-    uint32_t *chosen, unsigned chosen_max);
-static void peer_settle(struct peer *peer, const struct kwb_vms *vms);
-static void peer_candidate(struct kwb_entry *entry, struct peer *peer,
+static unsigned plan_home_agents(struct kwb_entry *entry,
+    const struct kwb_vms *vms, const struct kwb_plan *plan,
+    const struct kwb_allowance *allowance, uint32_t *chosen,
+    unsigned chosen_max);
+static void peer_apply_listing(struct peer *peer, const struct kwb_vms *vms);
+static void peer_fill_candidate(struct kwb_entry *entry, struct peer *peer,
     const char *plan, const char *model, struct kwb_candidate *candidate);
-static const struct peer_model *model_of(
+static const struct peer_model *peer_find_model(
     const struct peer *peer, const char *model);
-static void target_take(struct peer *peer, int index, const char *plan,
+static void peer_reserve(struct peer *peer, int index, const char *plan,
     const char *model, struct target *target);
 
 void
@@ -37,7 +39,7 @@
 	pthread_mutex_destroy(&peers->lock);
 }
 
-/* Chooses a peer of the plan's pool, takes a place there and logs why. */
+/* Routes a request: reserves a slot at the chosen peer and logs why. */
 int
 peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
     const char *plan, const char *model, const char *key, struct target *target)
@@ -50,11 +52,11 @@
 	target->peer = -1;
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		peer_candidate(
+		peer_fill_candidate(
 		    entry, &peers->peers[i], plan, model, &candidates[i]);
 	choice = kwb_route_pick(route, candidates, KWB_PEERS_MAX);
 	if (choice.index >= 0)
-		target_take(&peers->peers[choice.index], choice.index, plan,
+		peer_reserve(&peers->peers[choice.index], choice.index, plan,
 		    model, target);
 	pthread_mutex_unlock(&peers->lock);
 	if (choice.index < 0)
@@ -71,9 +73,9 @@
 	return 0;
 }
 
-/* Takes a place at one named peer, whatever its load. */
+/* Reserves a slot at the peer on that VM, whatever its load. */
 int
-peers_target(struct kwb_entry *entry, const char *vm, const char *plan,
+peers_reserve(struct kwb_entry *entry, const char *vm, const char *plan,
     const char *model, struct target *target)
 {
 	struct peers *peers = &entry->peers;
@@ -86,40 +88,44 @@
 
 		if (strcmp(peer->vm, vm) != 0 || !peer->greeted)
 			continue;
-		target_take(peer, i, plan, model, target);
+		peer_reserve(peer, i, plan, model, target);
 		error = 0;
 	}
 	pthread_mutex_unlock(&peers->lock);
 	return error;
 }
 
-/* Gives the place back; the error tells how the peer did. */
+/*
+ * Gives a reserved slot back. The error is that of the request: a busy peer is
+ * passed over for a while, and so is one that fails several times in a row.
+ */
 void
 peers_release(struct kwb_entry *entry, struct target *target, int error)
 {
 	struct peer *peer;
-	struct peer_plan *use;
+	struct peer_plan *plan_use;
 
 	if (target->peer < 0)
 		return;
 	peer = &entry->peers.peers[target->peer];
 	pthread_mutex_lock(&entry->peers.lock);
 	if (strcmp(peer->vm, target->vm) == 0) {
-		use = peer_plan_of(peer, target->plan);
-		if (use != NULL && use->own > 0)
-			use->own--;
+		plan_use = peer_plan_get(peer, target->plan);
+		if (plan_use != NULL && plan_use->own > 0)
+			plan_use->own--;
 		if (peer->own > 0)
 			peer->own--;
 		if (error == KWB_ERR_CALL_BUSY)
-			peer->busy_ns = kwb_clock_now_ns() + KWB_BUSY_NS;
+			peer->busy_ns = kwb_clock_now_ns() + KWB_PEER_BUSY_NS;
 		if (error == KWB_ERR_CALL_UPSTREAM ||
 		    error == KWB_ERR_CALL_DEADLINE)
 			peer->failures++;
 		else if (error == 0)
 			peer->failures = 0;
-		if (peer->failures >= KWB_TRIP_FAILURES) {
+		if (peer->failures >= KWB_PEER_TRIP_FAILURES) {
 			peer->failures = 0;
-			peer->tripped_ns = kwb_clock_now_ns() + KWB_TRIP_NS;
+			peer->tripped_ns =
+			    kwb_clock_now_ns() + KWB_PEER_TRIP_NS;
 			kwb_log(KWB_LOG_WARN, "member", "event=trip vm=%s",
 			    peer->vm);
 		}
@@ -128,7 +134,7 @@
 	target->peer = -1;
 }
 
-/* Brings the table in line with the platform's list and with demand. */
+/* Updates the table from the VM list and the plans in demand here. */
 void
 peers_update(struct kwb_entry *entry, const struct kwb_vms *vms)
 {
@@ -136,76 +142,78 @@
 	uint32_t chosen[2 * KWB_PEERS_MAX];
 	unsigned i, count;
 
-	count = kwb_subset(vms, entry->settings->vm,
+	count = kwb_subset_select(vms, entry->settings->vm,
 	    entry->settings->failure_domain, entry->settings->subset, chosen,
 	    KWB_PEERS_MAX);
-	count += homes_in_demand(
+	count += home_agents_in_demand(
 	    entry, vms, chosen + count, 2 * KWB_PEERS_MAX - count);
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		peers->peers[i].wanted = false;
 	for (i = 0; i < count; i++) {
-		struct peer *peer = peer_slot(peers, &vms->vms[chosen[i]]);
+		struct peer *peer =
+		    peer_find_or_add(peers, &vms->vms[chosen[i]]);
 
 		if (peer != NULL)
 			peer->wanted = true;
 	}
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		peer_settle(&peers->peers[i], vms);
+		peer_apply_listing(&peers->peers[i], vms);
 	pthread_mutex_unlock(&peers->lock);
 }
 
 /*
- * The homes of the training plans that are pulled through this entry, and of
- * those whose weights are rolled out from here, in the domains led.
+ * The home agents of the training plans whose samples are pulled through this
+ * entry, and of those whose weights it rolls out, in the failure domains that
+ * it leads.
  */
 static unsigned
-homes_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
+home_agents_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
     uint32_t *chosen, unsigned chosen_max)
 {
-	const struct kwb_lists *lists = kwb_current_hold();
+	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	unsigned used = 0;
 	uint32_t i;
 
 	for (i = 0; lists != NULL && i < lists->plans_count; i++) {
 		const struct kwb_plan *plan = &lists->plans[i];
 		const struct kwb_allowance *allowance =
-		    kwb_lists_allowance(lists, plan->name);
+		    kwb_lists_find_allowance(lists, plan->name);
 
 		if (plan->kind != KWB_PLAN_TRAINING)
 			continue;
-		used += homes_of(entry, vms, plan, allowance, chosen + used,
-		    chosen_max - used);
+		used += plan_home_agents(entry, vms, plan, allowance,
+		    chosen + used, chosen_max - used);
 	}
-	kwb_current_drop();
+	kwb_current_lists_read_unlock();
 	return used;
 }
 
 static unsigned
-homes_of(struct kwb_entry *entry, const struct kwb_vms *vms,
+plan_home_agents(struct kwb_entry *entry, const struct kwb_vms *vms,
     const struct kwb_plan *plan, const struct kwb_allowance *allowance,
     uint32_t *chosen, unsigned chosen_max)
 {
 	uint64_t demand_ns =
 	    atomic_load(&entry_gate(entry, plan->name)->demand_ns);
-	bool pulled =
+	bool in_demand =
 	    demand_ns != 0 && kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_NS;
 	unsigned i, used = 0, count;
 
-	count = kwb_home(vms, plan->pool, plan->name,
+	count = kwb_home_select(vms, plan->pool, plan->name,
 	    kwb_share_homes(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
-		if (pulled ||
+		if (in_demand ||
 		    entry_leads(
 			entry, plan->name, vms->vms[chosen[i]].failure_domain))
 			chosen[used++] = chosen[i];
 	return used;
 }
 
-/* What the list says of a peer; one no longer wanted goes when it is idle. */
+/* Applies the VM list to a peer; frees one that is unwanted and idle. */
 static void
-peer_settle(struct peer *peer, const struct kwb_vms *vms)
+peer_apply_listing(struct peer *peer, const struct kwb_vms *vms)
 {
 	uint32_t i;
 
@@ -220,6 +228,7 @@
 		memset(peer, 0, sizeof(*peer));
 }
 
+/* Opens links to wanted peers that have none, with exponential backoff. */
 void
 peers_reconnect(struct kwb_entry *entry)
 {
@@ -246,6 +255,7 @@
 	pthread_mutex_unlock(&peers->lock);
 }
 
+/* Sends the lists to all connected peers that have an older revision. */
 void
 peers_push_lists(struct kwb_entry *entry)
 {
@@ -263,6 +273,7 @@
 			peer_send_lists(entry, links[i], i);
 }
 
+/* Lists the connected peers of a pool, without reserving slots there. */
 unsigned
 peers_in_pool(struct kwb_entry *entry, const char *pool, struct target *targets,
     unsigned targets_max)
@@ -288,7 +299,7 @@
 	return count;
 }
 
-/* Free places of a plan at usable peers other than one. */
+/* Free units of a plan at usable peers, except the one at that index. */
 uint32_t
 peers_idle_units(struct kwb_entry *entry, const char *plan, int except)
 {
@@ -300,21 +311,24 @@
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++) {
 		struct peer *peer = &peers->peers[i];
-		struct peer_plan *use;
+		struct peer_plan *plan_use;
 
-		if (i == except || !peer_usable(peer, now_ns))
+		if (i == except || !peer_is_usable(peer, now_ns))
 			continue;
-		use = peer_plan_of(peer, plan);
-		if (use != NULL && use->own + use->others < use->units &&
+		plan_use = peer_plan_get(peer, plan);
+		if (plan_use != NULL &&
+		    plan_use->own + plan_use->others < plan_use->units &&
 		    peer->own + peer->others < peer->slots)
-			idle += use->units - use->own - use->others;
+			idle +=
+			    plan_use->units - plan_use->own - plan_use->others;
 	}
 	pthread_mutex_unlock(&peers->lock);
 	return idle;
 }
 
+/* Appends all peers as a JSON array. */
 void
-peers_print(struct kwb_entry *entry, struct kwb_buf *out)
+peers_print_json(struct kwb_entry *entry, struct kwb_buf *out)
 {
 	struct peers *peers = &entry->peers;
 	unsigned i, j, printed = 0;
@@ -350,18 +364,21 @@
 }
 
 static bool
-peer_usable(const struct peer *peer, uint64_t now_ns)
+peer_is_usable(const struct peer *peer, uint64_t now_ns)
 {
 	return peer->greeted && peer->upstream_up && !peer->leaving &&
 	    !peer->listed_leaving && now_ns >= peer->tripped_ns &&
 	    now_ns >= peer->busy_ns;
 }
 
-/* The slot of a VM, taken on first sight; a moved VM gets a new link. */
+/*
+ * The peer on a VM, added if missing; NULL if the table is full. A new address
+ * takes effect with the next link.
+ */
 static struct peer *
-peer_slot(struct peers *peers, const struct kwb_vm *vm)
+peer_find_or_add(struct peers *peers, const struct kwb_vm *vm)
 {
-	struct peer *peer, *open = NULL;
+	struct peer *peer, *unused = NULL;
 	unsigned i;
 
 	for (i = 0; i < KWB_PEERS_MAX; i++) {
@@ -371,51 +388,51 @@
 				peer->address = vm->address;
 			return peer;
 		}
-		if (open == NULL && peer->vm[0] == '\0')
-			open = peer;
+		if (unused == NULL && peer->vm[0] == '\0')
+			unused = peer;
 	}
-	if (open == NULL)
+	if (unused == NULL)
 		return NULL;
-	memset(open, 0, sizeof(*open));
-	kwb_text_copy(open->vm, sizeof(open->vm), vm->vm);
-	kwb_text_copy(open->failure_domain, sizeof(open->failure_domain),
+	memset(unused, 0, sizeof(*unused));
+	kwb_text_copy(unused->vm, sizeof(unused->vm), vm->vm);
+	kwb_text_copy(unused->failure_domain, sizeof(unused->failure_domain),
 	    vm->failure_domain);
-	kwb_text_copy(open->pool, sizeof(open->pool), vm->pool);
-	open->address = vm->address;
-	return open;
+	kwb_text_copy(unused->pool, sizeof(unused->pool), vm->pool);
+	unused->address = vm->address;
+	return unused;
 }
 
 static void
-peer_candidate(struct kwb_entry *entry, struct peer *peer, const char *plan,
-    const char *model, struct kwb_candidate *candidate)
+peer_fill_candidate(struct kwb_entry *entry, struct peer *peer,
+    const char *plan, const char *model, struct kwb_candidate *candidate)
 {
-	const struct peer_model *state = model_of(peer, model);
-	const struct peer_plan *use;
+	const struct peer_model *state = peer_find_model(peer, model);
+	const struct peer_plan *plan_use;
 
 	memset(candidate, 0, sizeof(*candidate));
 	candidate->vm = peer->vm;
-	if (peer->vm[0] == '\0' || !peer_usable(peer, kwb_clock_now_ns()))
+	if (peer->vm[0] == '\0' || !peer_is_usable(peer, kwb_clock_now_ns()))
 		return;
-	use = peer_plan_of(peer, plan);
-	if (use == NULL || (model != NULL && state == NULL))
+	plan_use = peer_plan_get(peer, plan);
+	if (plan_use == NULL || (model != NULL && state == NULL))
 		return;
-	candidate->usable = use->units > 0;
+	candidate->usable = plan_use->units > 0;
 	candidate->same_domain =
 	    strcmp(peer->failure_domain, entry->settings->failure_domain) == 0;
 	if (state != NULL) {
 		candidate->version = state->version;
 		candidate->swapping = state->swapping;
 	}
-	candidate->units = use->units;
-	candidate->in_plan = use->own + use->others;
+	candidate->units = plan_use->units;
+	candidate->in_plan = plan_use->own + plan_use->others;
 	candidate->slots = peer->slots;
 	candidate->in_flight = peer->own + peer->others;
 }
 
 struct peer_plan *
-peer_plan_of(struct peer *peer, const char *plan)
+peer_plan_get(struct peer *peer, const char *plan)
 {
-	struct peer_plan *use;
+	struct peer_plan *plan_use;
 	unsigned i;
 
 	for (i = 0; i < peer->plans_count; i++)
@@ -423,14 +440,14 @@
 			return &peer->plans[i];
 	if (peer->plans_count == KWB_PLANS_MAX)
 		return NULL;
-	use = &peer->plans[peer->plans_count++];
-	memset(use, 0, sizeof(*use));
-	kwb_text_copy(use->plan, sizeof(use->plan), plan);
-	return use;
+	plan_use = &peer->plans[peer->plans_count++];
+	memset(plan_use, 0, sizeof(*plan_use));
+	kwb_text_copy(plan_use->plan, sizeof(plan_use->plan), plan);
+	return plan_use;
 }
 
 static const struct peer_model *
-model_of(const struct peer *peer, const char *model)
+peer_find_model(const struct peer *peer, const char *model)
 {
 	unsigned i;
 
@@ -441,11 +458,11 @@
 }
 
 static void
-target_take(struct peer *peer, int index, const char *plan, const char *model,
+peer_reserve(struct peer *peer, int index, const char *plan, const char *model,
     struct target *target)
 {
-	const struct peer_model *state = model_of(peer, model);
-	struct peer_plan *use = peer_plan_of(peer, plan);
+	const struct peer_model *state = peer_find_model(peer, model);
+	struct peer_plan *plan_use = peer_plan_get(peer, plan);
 
 	target->peer = index;
 	target->link = peer->link;
@@ -454,6 +471,6 @@
 	kwb_text_copy(target->vm, sizeof(target->vm), peer->vm);
 	kwb_text_copy(target->plan, sizeof(target->plan), plan);
 	peer->own++;
-	if (use != NULL)
-		use->own++;
+	if (plan_use != NULL)
+		plan_use->own++;
 }
