--- a/include/kwb.h
+++ b/include/kwb.h
@@ -494,7 +494,7 @@
 	uint32_t units;
 };
 
-uint32_t kwb_share_homes(uint32_t allowance,
+uint32_t kwb_share_holders(uint32_t allowance,
     unsigned members); /* how many members hold units of a plan */
 uint32_t kwb_share_fair(uint32_t allowance, const char *plan,
     const struct kwb_share_member *members, unsigned count,
@@ -503,35 +503,41 @@
     const struct kwb_share_member *members, unsigned count, unsigned self,
     uint32_t running); /* units that member self may write now */
 
-struct kwb_budget {
+struct kwb_retry_budget {
 	pthread_mutex_t lock;
-	uint64_t tries;
+	uint64_t first_tries;
 	uint64_t retries;
 };
 
-void kwb_budget_init(struct kwb_budget *budget);   /* nothing spent */
-void kwb_budget_finish(struct kwb_budget *budget); /* ends it */
-void kwb_budget_try(struct kwb_budget *budget);	   /* counts a first try */
-bool kwb_budget_retry(struct kwb_budget *budget);  /* false when spent */
+void kwb_retry_budget_init(struct kwb_retry_budget *budget); /* nothing spent */
+void kwb_retry_budget_finish(struct kwb_retry_budget *budget); /* ends it */
+void kwb_retry_budget_add_try(
+    struct kwb_retry_budget *budget); /* counts a first try */
+bool kwb_retry_budget_take(
+    struct kwb_retry_budget *budget); /* false when spent */
 
 /* ---- Route: which upstream takes a request ----------------------------- */
 
-enum kwb_policy { KWB_POLICY_KWB, KWB_POLICY_ROUND_ROBIN, KWB_POLICY_LEAST };
+enum kwb_policy {
+	KWB_POLICY_DEFAULT,
+	KWB_POLICY_ROUND_ROBIN,
+	KWB_POLICY_LEAST_LOAD
+};
 
 struct kwb_candidate {
 	const char *vm;
 	bool usable; /* connected, up, not leaving, not tripped */
 	bool same_domain;
 	bool swapping;
-	uint64_t version; /* weights of the request's model */
-	uint32_t units;	  /* plan's share there */
-	uint32_t in_plan; /* plan's running there, own count or report */
+	uint64_t version;	 /* weights of the request's model */
+	uint32_t units;		 /* plan's share there */
+	uint32_t plan_in_flight; /* plan's running there, own count or report */
 	uint32_t slots;
 	uint32_t in_flight; /* all plans, larger of own count and report */
 };
 
-struct kwb_route {
-	const char *affinity; /* prefix key, NULL for none */
+struct kwb_route_query {
+	const char *affinity_key; /* prefix key, NULL for none */
 	uint64_t min_version;
 	uint64_t random;
 	int exclude; /* candidate to avoid, -1 for none */
@@ -545,7 +551,7 @@
 	const char *reason;
 };
 
-struct kwb_choice kwb_route_pick(const struct kwb_route *route,
+struct kwb_choice kwb_route_pick(const struct kwb_route_query *route,
     const struct kwb_candidate *candidates,
     unsigned count); /* the decision; pure */
 int kwb_policy_parse(
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -78,26 +78,29 @@
 #define KWB_RELAY_IDLE_S 5	   /* longer than a feed waits */
 
 /* Upstreams of the shared platform */
-#define KWB_CONNECT_COST 0.15  /* of a new connection, in pieces of work */
-#define KWB_PACE_NOISE 1.6     /* plain work varies by so much */
-#define KWB_SUSPECT_FAILURES 2 /* in a row, before an upstream is avoided */
+#define KWB_CONNECT_COST 0.15	 /* of a new connection, in pieces of work */
+#define KWB_PACE_NOISE_RATIO 1.6 /* plain work varies by so much */
+#define KWB_SUSPECT_FAILURES 2	 /* in a row, before an upstream is avoided */
 #define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* first time it is avoided */
 #define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* longest, as it doubles */
-#define KWB_PACE_KEEP_NS (4000 * KWB_MS_NS)   /* a measured pace counts */
-#define KWB_PACE_USUAL_NS (60000 * KWB_MS_NS) /* likewise, while not slow */
-#define KWB_PACE_USUAL_MAX 32	/* upstreams looked at for the usual pace */
-#define KWB_PACE_CALM_PART 1024 /* of a change: slow to follow */
-#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)	      /* shorter: held up on the way */
-#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)     /* longer is a pause */
-#define KWB_REPORT_KEEP_NS (400 * KWB_MS_NS)  /* a reported load counts */
-#define KWB_REFUSED_NS (60 * KWB_MS_NS)	      /* left alone after it was full */
-#define KWB_MISDIRECTED_NS (1000 * KWB_MS_NS) /* address of another one */
-#define KWB_PARTS_MAX 1024	/* parts of prompts known; 72 KB */
-#define KWB_FORWARD_LEAST_MS 15 /* no new try with less time left */
+#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)    /* a measured pace counts */
+#define KWB_BASELINE_PACE_TTL_NS                                               \
+	(60000 * KWB_MS_NS)    /* likewise, while not slow */
+#define KWB_PACE_MEDIAN_MAX 32 /* upstreams looked at for the usual pace */
+#define KWB_BASELINE_PACE_DIVISOR 1024	    /* of a change: slow to follow */
+#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)	    /* shorter: held up on the way */
+#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)   /* longer is a pause */
+#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS) /* a reported load counts */
+#define KWB_REFUSED_BACKOFF_NS                                                 \
+	(60 * KWB_MS_NS) /* left alone after it was full */
+#define KWB_MISDIRECTED_BACKOFF_NS                                             \
+	(1000 * KWB_MS_NS)	    /* address of another one */
+#define KWB_PREFIXES_MAX 1024	    /* parts of prompts known; 72 KB */
+#define KWB_FORWARD_RETRY_MIN_MS 15 /* no new try with less time left */
 #define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS) /* its own deadline is first */
 #define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)  /* between looks for a place */
 #define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)    /* likewise, for a second try */
-#define KWB_HEDGE_SPARE_PART 3 /* a third of the slots is left to others */
+#define KWB_HEDGE_SPARE_DIVISOR 3 /* a third of the slots is left to others */
 
 /* Batches */
 #define KWB_ITEM_TTL_MS 30000		       /* when no route names one */
@@ -167,10 +170,10 @@
 #define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS)
 #define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)
 #define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS)
-#define KWB_HOME_AGENTS_MIN 32
-#define KWB_HOME_UNITS 8
-#define KWB_DEMAND_NS (60000 * KWB_MS_NS)
-#define KWB_SHARE_GONE_NS (10000 * KWB_MS_NS)
+#define KWB_SHARE_HOLDERS_MIN 32
+#define KWB_SHARE_UNITS_PER_HOLDER 8
+#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)
+#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS)
 #define KWB_CAS_TRIES 8
 
 /* Requests */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -608,7 +608,7 @@
 	KWB_ROUTE_ROLLOUT
 };
 
-struct kwb_split {
+struct kwb_route_split {
 	char service[KWB_NAME_MAX_BYTES];
 	uint32_t weight;
 };
@@ -620,14 +620,14 @@
 	enum kwb_route_kind kind;
 	bool resumable;
 	bool single_version;
-	bool shares_prompts; /* requests begin like others */
+	bool sticky; /* requests begin like others */
 	uint32_t timeout_ms;
-	uint32_t target_ms;	  /* latency target */
-	uint32_t run_deadline_ms; /* of a batch */
-	uint32_t item_ttl_ms;	  /* when an item may be given up */
+	uint32_t target_latency_ms; /* latency target */
+	uint32_t run_deadline_ms;   /* of a batch */
+	uint32_t item_ttl_ms;	    /* when an item may be given up */
 	uint32_t max_attempts;
 	uint32_t priority;
-	struct kwb_split *splits;
+	struct kwb_route_split *splits;
 	uint32_t splits_count;
 };
 
@@ -653,12 +653,12 @@
 };
 
 void kwb_node_config_finish(struct kwb_node_config *config); /* frees it */
-const struct kwb_route_entry *kwb_node_config_route(
+const struct kwb_route_entry *kwb_node_config_find_route(
     const struct kwb_node_config *config, const char *host,
     const char *target); /* longest prefix of that host; NULL for none */
-const struct kwb_service *kwb_node_config_service(
+const struct kwb_service *kwb_node_config_find_service(
     const struct kwb_node_config *config, const char *name); /* or NULL */
-const char *kwb_route_entry_service(const struct kwb_route_entry *route,
+const char *kwb_route_entry_pick_service(const struct kwb_route_entry *route,
     uint64_t random); /* one of its services, by weight */
 
 /* ---- Upstreams: registry and choice -------------------------------------- */
@@ -684,30 +684,31 @@
 
 struct kwb_upstream {
 	struct kwb_upstream_status status;
-	bool listed;	       /* still in the platform's list */
-	uint64_t gone_ns;      /* when it left the list, 0 while listed */
-	uint32_t in_flight;    /* requests of this node there */
-	uint32_t references;   /* keeps the memory while used */
-	uint32_t reported;     /* running and waiting, by its last answer */
-	uint32_t reported_own; /* own in_flight when that came */
+	bool listed;		/* still in the platform's list */
+	uint64_t removal_ns;	/* when it left the list, 0 while listed */
+	uint32_t in_flight;	/* requests of this node there */
+	uint32_t ref_count;	/* keeps the memory while used */
+	uint32_t reported_load; /* running and waiting, by its last answer */
+	uint32_t in_flight_at_report; /* own in_flight when that came */
 	uint64_t reported_ns;
 	uint32_t failures; /* in a row */
 	uint64_t suspect_until_ns;
 	bool probing;	  /* one request tries a suspect upstream */
 	uint64_t pace_ns; /* smoothed time a piece of work takes; 0 unknown */
-	uint64_t pace_at_ns;	   /* when it was last measured */
-	uint64_t calm_pace_ns;	   /* likewise, while it was not slow */
-	uint64_t refused_until_ns; /* answered that it is full or swapping */
-	char home_model[KWB_NAME_MAX_BYTES]; /* model it is kept current for */
+	uint64_t pace_updated_ns;  /* when it was last measured */
+	uint64_t baseline_pace_ns; /* likewise, while it was not slow */
+	uint64_t backoff_until_ns; /* answered that it is full or swapping */
+	char assigned_model[KWB_NAME_MAX_BYTES]; /* model it is kept current for
+						  */
 	uint64_t expected_version; /* of that model, ordered but not yet seen */
-	uint64_t loading_ns;	   /* when that was first heard of */
+	uint64_t expected_since_ns; /* when that was first heard of */
 };
 
 struct kwb_registry {
 	struct kwb_index index; /* of those that are listed */
 	struct kwb_upstream **upstreams;
 	uint32_t count;
-	uint32_t room;
+	uint32_t capacity;
 };
 
 void kwb_registry_init(struct kwb_registry *registry);	 /* empty */
@@ -718,59 +719,61 @@
     struct kwb_registry *registry, const char *id); /* left the list */
 struct kwb_upstream *kwb_registry_find(
     const struct kwb_registry *registry, const char *id); /* or NULL */
-void kwb_upstream_hold(struct kwb_upstream *upstream);	  /* a reference */
-void kwb_upstream_drop(struct kwb_registry *registry,
+void kwb_upstream_ref(struct kwb_upstream *upstream);	  /* a reference */
+void kwb_upstream_unref(struct kwb_registry *registry,
     struct kwb_upstream *upstream); /* ends a reference */
 uint64_t kwb_upstream_version(const struct kwb_upstream *upstream,
     const char *model); /* of its weights, 0 when it lacks the model */
 void kwb_upstream_set_version(struct kwb_upstream *upstream, const char *model,
     uint64_t version); /* as an answer named it */
-void kwb_upstream_expect(struct kwb_upstream *upstream, const char *model,
+void kwb_upstream_assign(struct kwb_upstream *upstream, const char *model,
     uint64_t version); /* its home, and the version ordered there */
 bool kwb_upstream_is_loading(const struct kwb_upstream *upstream,
     const char *model, uint64_t now_ns); /* that model's weights change */
-void kwb_upstream_ok(
+void kwb_upstream_record_success(
     struct kwb_upstream *upstream); /* an answer came: trusted again */
-void kwb_upstream_failed(struct kwb_upstream *upstream,
+void kwb_upstream_record_failure(struct kwb_upstream *upstream,
     uint64_t now_ns); /* a failure; after some it is suspected */
-void kwb_upstream_pace(struct kwb_upstream *upstream,
+void kwb_upstream_record_pace(struct kwb_upstream *upstream,
     uint64_t taken_ns); /* measured time of a piece of work */
-uint64_t kwb_registry_usual_pace(const struct kwb_registry *registry,
+uint64_t kwb_registry_median_pace(const struct kwb_registry *registry,
     const char *service,
     uint64_t now_ns); /* of an upstream that is not slow, 0 unknown */
 
 /* What a choice of upstream looks at; see kwb_upstream_pick(). */
-struct kwb_pick {
+struct kwb_pick_criteria {
 	const char *service;
 	const char *failure_domain; /* preferred, NULL for none */
 	const char *model;	    /* NULL for plain services */
 	uint64_t min_version;	    /* oldest weights allowed */
 	const struct kwb_upstream *const *exclude;
 	uint32_t exclude_count;
-	const char *affinity; /* id of an upstream that read the prompt */
-	bool within_slots;    /* only where a slot is free */
-	uint32_t spare_part;  /* likewise: one slot in so many stays free; 0 */
+	const char *affinity_id; /* id of an upstream that read the prompt */
+	bool needs_free_slot;	 /* only where a slot is free */
+	uint32_t
+	    spare_divisor; /* likewise: one slot in so many stays free; 0 */
 	const struct kwb_client *client; /* prefers kept connections, or NULL */
 	uint64_t now_ns;
 	uint64_t random;
 };
 
 struct kwb_upstream *kwb_upstream_pick(const struct kwb_registry *registry,
-    const struct kwb_pick *pick); /* the decision; NULL for none */
+    const struct kwb_pick_criteria *pick); /* the decision; NULL for none */
 
-struct kwb_parts_slot {
+struct kwb_prefix_entry {
 	uint64_t hash; /* of a part, the parts before it and the service */
 	char upstream_id[KWB_NAME_MAX_BYTES];
 };
 
 /* Upstreams that have read parts of prompts. Prompts are "PART:TOKENS,...". */
-struct kwb_parts {
-	struct kwb_parts_slot slots[KWB_PARTS_MAX];
+struct kwb_prefix_map {
+	struct kwb_prefix_entry entries[KWB_PREFIXES_MAX];
 };
 
-void kwb_parts_note(struct kwb_parts *parts, const char *service,
+void kwb_prefix_map_set(struct kwb_prefix_map *parts, const char *service,
     const char *prompt, const char *upstream_id); /* it has read all of it */
-const char *kwb_parts_find(struct kwb_parts *parts, const char *service,
+const char *kwb_prefix_map_find(struct kwb_prefix_map *parts,
+    const char *service,
     const char *prompt); /* the upstream that read most of it, or NULL */
 
 /* ---- Dialect: what is spoken with clients and upstreams --------------------
@@ -914,7 +917,7 @@
 	struct kwb_registry *registry;
 	const struct kwb_dialect *dialect;
 	const char *failure_domain;
-	struct kwb_parts *parts;
+	struct kwb_prefix_map *prefixes;
 };
 
 struct kwb_forward_attempt {
@@ -936,14 +939,14 @@
 	const struct kwb_forward_env *env;
 	struct kwb_upstream_request request;
 	char service[KWB_NAME_MAX_BYTES];
-	const char *prompt; /* its parts; NULL where none are shared */
-	bool repeatable;    /* may run more than once */
-	bool passes_errors; /* an upstream's 5xx ends it */
-	bool resumes;	    /* a stream that breaks off goes on elsewhere */
+	const char *prompt;  /* its parts; NULL where none are shared */
+	bool idempotent;     /* may run more than once */
+	bool returns_errors; /* an upstream's 5xx ends it */
+	bool resumes;	     /* a stream that breaks off goes on elsewhere */
 	uint32_t max_attempts;
 	uint64_t deadline_ns;
-	uint64_t hedge_ns;  /* when a second upstream is tried; 0 for never */
-	bool is_hedge_late; /* it found no room when it was due */
+	uint64_t hedge_ns; /* when a second upstream is tried; 0 for never */
+	bool is_hedge_delayed; /* it found no room when it was due */
 	/* state */
 	struct event *timer;
 	struct kwb_forward_attempt attempts[2];
@@ -953,8 +956,9 @@
 	uint64_t retry_ns;   /* when to look for an upstream again */
 	bool done;
 	bool streaming;
-	bool streamed;	     /* the head went to the caller */
-	struct kwb_buf held; /* bytes of an event that is not whole yet */
+	bool head_sent; /* the head went to the caller */
+	struct kwb_buf
+	    partial_event;   /* bytes of an event that is not whole yet */
 	uint64_t last_event; /* passed on to the caller */
 	/* outcome */
 	enum kwb_forward_outcome outcome;
@@ -1355,7 +1359,7 @@
 	struct kwb_client client;
 	struct kwb_registry registry;
 	struct kwb_forward_env forward;
-	struct kwb_parts parts;
+	struct kwb_prefix_map parts;
 	struct kwb_batch_env batch_env;
 	struct kwb_batches batches;
 	struct kwb_mover mover;
--- a/src/batch/pump.c
+++ b/src/batch/pump.c
@@ -14,21 +14,21 @@
 {
 	const struct kwb_batch *batch = run->batch;
 	const struct kwb_upstream *here = run->upstream;
-	struct kwb_pick pick = {
+	struct kwb_pick_criteria pick = {
 	    .service = service,
 	    .failure_domain = run_env(run)->forward->failure_domain,
 	    .model = batch->spec.model,
 	    .min_version = batch->spec.min_version,
-	    .affinity = batch->groups[run->group].upstream_id,
+	    .affinity_id = batch->groups[run->group].upstream_id,
 	    .exclude = &here,
 	    .exclude_count = here != NULL,
-	    .within_slots = true,
+	    .needs_free_slot = true,
 	    .now_ns = kwb_clock_now_ns(),
 	    .random = (uint64_t)random(),
 	};
 
-	if (pick.affinity[0] == '\0')
-		pick.affinity = NULL;
+	if (pick.affinity_id[0] == '\0')
+		pick.affinity_id = NULL;
 	return kwb_upstream_pick(run_env(run)->forward->registry, &pick);
 }
 
@@ -52,11 +52,11 @@
 	    .moves = run->moves,
 	    .since_ns = now_ns - run->begin_ns};
 
-	if (now_ns - place->pace_at_ns < KWB_PACE_KEEP_NS)
+	if (now_ns - place->pace_updated_ns < KWB_PACE_TTL_NS)
 		input.best_pace_ns = place->pace_ns;
 	else
 		input.best_pace_ns =
-		    kwb_registry_usual_pace(run_env(run)->forward->registry,
+		    kwb_registry_median_pace(run_env(run)->forward->registry,
 			place->status.service, now_ns);
 	if (kwb_upstream_is_loading(
 		run->upstream, run->batch->spec.model, now_ns))
@@ -68,7 +68,7 @@
 static void
 move_to(struct item_run *run, struct kwb_upstream *place, const char *reason)
 {
-	const struct kwb_route_entry *route = kwb_node_config_route(
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
 	    *run_env(run)->config, run->batch->head.host, run->item->target);
 
 	if (route == NULL)
@@ -93,14 +93,15 @@
 	}
 	if (kwb_item_is_silent(&silence)) {
 		/* While others go on there, this one waits in its queue. */
-		if (now_ns - run->upstream->pace_at_ns >= KWB_EVENT_SILENCE_NS)
-			kwb_upstream_failed(run->upstream, now_ns);
+		if (now_ns - run->upstream->pace_updated_ns >=
+		    KWB_EVENT_SILENCE_NS)
+			kwb_upstream_record_failure(run->upstream, now_ns);
 		run_retry(run, 0, "silent");
 		return;
 	}
 	queued = kwb_item_is_queued(&silence);
 	if (queued)
-		run->upstream->refused_until_ns = now_ns + KWB_QUEUED_KEEP_NS;
+		run->upstream->backoff_until_ns = now_ns + KWB_QUEUED_KEEP_NS;
 	else if (run->last_event == 0)
 		return;
 	place = run_pick(run, run->upstream->status.service);
@@ -152,7 +153,7 @@
 pump_one(struct item_run *run)
 {
 	const struct kwb_batch_env *env = run_env(run);
-	const struct kwb_route_entry *route = kwb_node_config_route(
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
 	    *env->config, run->batch->head.host, run->item->target);
 	struct kwb_upstream *upstream;
 	uint64_t seed = 0;
@@ -164,7 +165,7 @@
 	}
 	for (at = run->item->id; *at != '\0'; at++)
 		seed = seed * 31 + (unsigned char)*at;
-	upstream = run_pick(run, kwb_route_entry_service(route, seed));
+	upstream = run_pick(run, kwb_route_entry_pick_service(route, seed));
 	if (upstream == NULL)
 		return false;
 	run_start(run, upstream, route);
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -37,7 +37,7 @@
 		kwb_exchange_finish(&run->exchange);
 		kwb_events_finish(&run->events);
 		run->upstream->in_flight--;
-		kwb_upstream_drop(
+		kwb_upstream_unref(
 		    run_env(run)->forward->registry, run->upstream);
 		run->upstream = NULL;
 	}
@@ -63,7 +63,7 @@
 	const struct kwb_batch_head *head = &run->batch->head;
 	const struct kwb_node_config *config = *run_env(run)->config;
 	const struct kwb_route_entry *route =
-	    kwb_node_config_route(config, head->host, run->item->target);
+	    kwb_node_config_find_route(config, head->host, run->item->target);
 
 	return head->accepted_ms +
 	    (route != NULL ? route->item_ttl_ms : KWB_ITEM_TTL_MS);
@@ -143,7 +143,7 @@
 		return;
 	}
 	if (run->event_ns != 0)
-		kwb_upstream_pace(run->upstream, now_ns - run->event_ns);
+		kwb_upstream_record_pace(run->upstream, now_ns - run->event_ns);
 	run->event_ns = now_ns;
 	run->last_event++;
 	note_version(run);
@@ -159,14 +159,14 @@
 	run_env(run)->forward->dialect->read_answer(
 	    kwb_exchange_message(exchange), &answer);
 	if (answer.has_load) {
-		run->upstream->reported = answer.running + answer.waiting;
-		run->upstream->reported_own = run->upstream->in_flight;
+		run->upstream->reported_load = answer.running + answer.waiting;
+		run->upstream->in_flight_at_report = run->upstream->in_flight;
 		run->upstream->reported_ns = kwb_clock_now_ns();
 	}
 	if (answer.status != 200 ||
 	    (answer.id != NULL && strcmp(answer.id, run->item->id) != 0))
 		return;
-	kwb_upstream_ok(run->upstream);
+	kwb_upstream_record_success(run->upstream);
 	exchange->streaming = true;
 	if (answer.version != 0) {
 		run->version = answer.version;
@@ -199,7 +199,7 @@
 	}
 	if (run->versions_count < 2)
 		return;
-	route = kwb_node_config_route(
+	route = kwb_node_config_find_route(
 	    *run_env(run)->config, run->batch->head.host, run->item->target);
 	if (route != NULL && route->single_version) {
 		/* What came under another version is of no use. */
@@ -212,7 +212,7 @@
 static void
 run_refused(struct item_run *run, const struct kwb_upstream_answer *answer)
 {
-	const struct kwb_route_entry *route = kwb_node_config_route(
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
 	    *run_env(run)->config, run->batch->head.host, run->item->target);
 	uint64_t now_ns = kwb_clock_now_ns();
 
@@ -221,7 +221,8 @@
 		return;
 	}
 	if (answer->not_run) {
-		run->upstream->refused_until_ns = now_ns + KWB_REFUSED_NS;
+		run->upstream->backoff_until_ns =
+		    now_ns + KWB_REFUSED_BACKOFF_NS;
 		run_retry(run, 0,
 		    answer->status == 421 ? "misdirected" : "upstream_full");
 		return;
@@ -244,7 +245,8 @@
 
 	if (error != 0) {
 		if (error != KWB_ERR_NET_STALE)
-			kwb_upstream_failed(run->upstream, kwb_clock_now_ns());
+			kwb_upstream_record_failure(
+			    run->upstream, kwb_clock_now_ns());
 		run_retry(run, 0, kwb_error_name(error));
 		return;
 	}
@@ -302,7 +304,7 @@
 	struct evbuffer *out = evbuffer_new();
 	int code;
 
-	if (strcmp(upstream->home_model, batch->spec.model) == 0 &&
+	if (strcmp(upstream->assigned_model, batch->spec.model) == 0 &&
 	    upstream->expected_version >
 		kwb_upstream_version(upstream, batch->spec.model))
 		request.expect_version = upstream->expected_version;
@@ -318,7 +320,7 @@
 	run->event_ns = 0;
 	run->begin_ns = kwb_clock_now_ns();
 	kwb_events_init(&run->events, env->dialect->version_field);
-	kwb_upstream_hold(upstream);
+	kwb_upstream_ref(upstream);
 	upstream->in_flight++;
 	upstream->probing = upstream->failures >= KWB_SUSPECT_FAILURES;
 	kwb_text_copy(batch->groups[run->group].upstream_id, KWB_NAME_MAX_BYTES,
@@ -329,7 +331,7 @@
 	    &run->exchange, env->client, &upstream->status.address, out);
 	evbuffer_free(out);
 	if (code != 0) {
-		kwb_upstream_failed(upstream, kwb_clock_now_ns());
+		kwb_upstream_record_failure(upstream, kwb_clock_now_ns());
 		run_retry(run, KWB_ITEM_RETRY_NS, kwb_error_name(code));
 	}
 }
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -22,7 +22,7 @@
 		run_ready(run, KWB_ITEM_COMPLETED, "scored");
 		return;
 	}
-	route = kwb_node_config_route(*run_env(run)->config,
+	route = kwb_node_config_find_route(*run_env(run)->config,
 	    run->item->score_host, run->item->score_target);
 	if (answer.status == 500)
 		run->score_errors++;
@@ -40,8 +40,8 @@
 {
 	const struct kwb_batch_env *env = run_env(run);
 	const struct kwb_batch_head *head = &run->batch->head;
-	const struct kwb_route_entry *route =
-	    kwb_node_config_route(*env->config, head->host, run->item->target);
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
+	    *env->config, head->host, run->item->target);
 	uint64_t now_ms = kwb_store_now_ms(env->store);
 	uint64_t due_ms =
 	    head->accepted_ms + (route != NULL ? route->run_deadline_ms : 0);
@@ -55,11 +55,11 @@
 {
 	const struct kwb_batch_env *env = run_env(run);
 	uint64_t now_ns = kwb_clock_now_ns();
-	struct kwb_pick pick = {
+	struct kwb_pick_criteria pick = {
 	    .service = service,
 	    .failure_domain = env->forward->failure_domain,
-	    .within_slots = true,
-	    .spare_part = KWB_REWARD_SPARE_PART,
+	    .needs_free_slot = true,
+	    .spare_divisor = KWB_REWARD_SPARE_PART,
 	    .now_ns = now_ns,
 	    .random = (uint64_t)random(),
 	};
@@ -90,7 +90,7 @@
 	if (run->score_open)
 		kwb_forward_finish(score);
 	run->score_open = false;
-	route = kwb_node_config_route(
+	route = kwb_node_config_find_route(
 	    *env->config, item->score_host, item->score_target);
 	run->retry_ns = now_ns + KWB_ITEM_RETRY_NS;
 	if (route == NULL) {
@@ -99,7 +99,7 @@
 			run_ready(run, KWB_ITEM_ERRORED, "item_ttl");
 		return;
 	}
-	service = kwb_route_entry_service(route, (uint64_t)random());
+	service = kwb_route_entry_pick_service(route, (uint64_t)random());
 	if (score_waits(run, service)) {
 		run->retry_ns = now_ns; /* looked at as soon as one ends */
 		return;
@@ -117,14 +117,14 @@
 	    .body_bytes = item->score_body_bytes,
 	    .priority = -1};
 	kwb_text_copy(score->service, sizeof(score->service), service);
-	score->repeatable = true;
-	score->passes_errors = true;
+	score->idempotent = true;
+	score->returns_errors = true;
 	score->max_attempts = route->max_attempts;
 	score->deadline_ns = now_ns +
 	    (route->timeout_ms ? route->timeout_ms : KWB_SCORE_TIMEOUT_MS) *
 		KWB_MS_NS;
 	score->request.deadline_ns = score->deadline_ns;
-	score->hedge_ns = now_ns + route->target_ms * KWB_MS_NS;
+	score->hedge_ns = now_ns + route->target_latency_ms * KWB_MS_NS;
 	run->score_open = true;
 	kwb_forward_start(score);
 }
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -53,12 +53,13 @@
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
 	inbox_init(&exchange.inbox);
-	kwb_budget_try(&gate->budget);
+	kwb_retry_budget_add_try(&gate->budget);
 	do {
 		/* Where all was full nothing was tried, so nothing is spent. */
 		full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
-		if (sent_before && !full && !kwb_budget_retry(&gate->budget))
+		if (sent_before && !full &&
+		    !kwb_retry_budget_take(&gate->budget))
 			break;
 		if (sent_before)
 			kwb_clock_sleep_ns(RETRY_PAUSE_NS);
@@ -76,7 +77,7 @@
 call_mint(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin)
 {
-	struct kwb_route route = {
+	struct kwb_route_query route = {
 	    .random = entry_random(), .exclude = -1, .priority = true};
 	struct target target;
 	int error = peers_pick(entry, &route, plan, NULL, pin->key, &target);
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -36,8 +36,8 @@
 int
 generation_start(struct kwb_entry *entry, struct generation *generation)
 {
-	struct kwb_route route = {
-	    .affinity = generation->prompt,
+	struct kwb_route_query route = {
+	    .affinity_key = generation->prompt,
 	    .min_version = generation->min_version,
 	    .random = entry_random(),
 	    .exclude = generation->avoid,
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -97,7 +97,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t before_ns = atomic_exchange(&gate->demand_ns, now_ns);
 
-	if (before_ns == 0 || now_ns - before_ns > KWB_DEMAND_NS / 2)
+	if (before_ns == 0 || now_ns - before_ns > KWB_DEMAND_TTL_NS / 2)
 		atomic_fetch_add(&entry->demand_changes, 1);
 }
 
@@ -165,7 +165,7 @@
 	if (i == entry->gates_count) {
 		entry->gates_count++;
 		kwb_text_copy(gate->plan, sizeof(gate->plan), plan);
-		kwb_budget_init(&gate->budget);
+		kwb_retry_budget_init(&gate->budget);
 	}
 	pthread_mutex_unlock(&entry->gates_lock);
 	return gate;
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -117,7 +117,7 @@
 struct plan_gate {
 	char plan[KWB_NAME_MAX_BYTES];
 	_Atomic uint32_t waiting;
-	struct kwb_budget budget;
+	struct kwb_retry_budget budget;
 	_Atomic uint64_t trainer_version; /* highest a trainer has named */
 	_Atomic uint64_t demand_ns;	  /* when last asked for */
 	unsigned lead_domains_count;	  /* under gates_lock */
@@ -184,7 +184,7 @@
 /* peers.c */
 void peers_init(struct peers *peers);
 void peers_finish(struct peers *peers);
-int peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
+int peers_pick(struct kwb_entry *entry, const struct kwb_route_query *route,
     const char *plan, const char *model, const char *key,
     struct target *target);
 int peers_target(struct kwb_entry *entry, const char *vm, const char *plan,
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -130,9 +130,9 @@
 	int error;
 
 	if (generation->starts == 0)
-		kwb_budget_try(&gate->budget);
+		kwb_retry_budget_add_try(&gate->budget);
 	else if (generation->error != KWB_ERR_CALL_BUSY && (*retries)++ > 0 &&
-	    !kwb_budget_retry(&gate->budget))
+	    !kwb_retry_budget_take(&gate->budget))
 		return KWB_ERR_ROUTE_FULL;
 	error = generation_start(exchange->entry, generation);
 	if (error == 0)
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -1,7 +1,8 @@
 /*
- * Forwarding of one request: which answers end it, what may be tried again and
- * where, and what the caller may be told. A request that is not repeatable is
- * sent again only after an upstream said that it has not run it.
+ * Forwarding of one request: which answers end it, what may be tried
+ * include_tried and where, and what the caller may be told. A request that is
+ * not idempotent is sent include_tried only after an upstream said that it has
+ * not run it.
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -10,8 +11,8 @@
 
 #include "kwb_node.h"
 
-static void forward_try(struct kwb_forward *forward);
-static void forward_arm(struct kwb_forward *forward);
+static void forward_dispatch(struct kwb_forward *forward);
+static void forward_arm_timer(struct kwb_forward *forward);
 
 static void
 forward_log(const struct kwb_forward *forward, const char *event,
@@ -34,7 +35,7 @@
 		return;
 	kwb_exchange_finish(&attempt->exchange);
 	attempt->upstream->in_flight--;
-	kwb_upstream_drop(registry, attempt->upstream);
+	kwb_upstream_unref(registry, attempt->upstream);
 	attempt->upstream = NULL;
 }
 
@@ -56,7 +57,7 @@
 	attempt_end(&forward->attempts[1]);
 	event_del(forward->timer);
 	if (outcome == KWB_FORWARD_ANSWERED && forward->prompt != NULL)
-		kwb_parts_note(forward->env->parts, forward->service,
+		kwb_prefix_map_set(forward->env->prefixes, forward->service,
 		    forward->prompt, forward->upstream_id);
 	if (outcome != KWB_FORWARD_ANSWERED)
 		forward_log(forward,
@@ -66,34 +67,34 @@
 }
 
 static void
-note_load(
+record_load(
     struct kwb_upstream *upstream, const struct kwb_upstream_answer *answer)
 {
 	if (!answer->has_load)
 		return;
-	upstream->reported = answer->running + answer->waiting;
-	upstream->reported_own = upstream->in_flight;
+	upstream->reported_load = answer->running + answer->waiting;
+	upstream->in_flight_at_report = upstream->in_flight;
 	upstream->reported_ns = kwb_clock_now_ns();
 	if (answer->slots != 0)
 		upstream->status.slots = answer->slots;
 }
 
 static bool
-may_repeat(const struct kwb_forward *forward)
+can_retry(const struct kwb_forward *forward)
 {
-	return forward->repeatable &&
-	    (!forward->streamed || forward->resumes) &&
+	return forward->idempotent &&
+	    (!forward->head_sent || forward->resumes) &&
 	    forward->sent_count < forward->max_attempts &&
-	    kwb_clock_left_ms(forward->deadline_ns) > KWB_FORWARD_LEAST_MS;
+	    kwb_clock_left_ms(forward->deadline_ns) > KWB_FORWARD_RETRY_MIN_MS;
 }
 
-/* Looks for a second upstream again; the first one is still at it. */
+/* Looks for a second upstream include_tried; the first one is still at it. */
 static void
-hedge_later(struct kwb_forward *forward)
+hedge_postpone(struct kwb_forward *forward)
 {
-	forward->is_hedge_late = true;
+	forward->is_hedge_delayed = true;
 	forward->hedge_ns = kwb_clock_now_ns() + KWB_HEDGE_RETRY_NS;
-	forward_arm(forward);
+	forward_arm_timer(forward);
 }
 
 /* Ends an attempt that brought no answer to give to the caller. */
@@ -110,19 +111,19 @@
 	attempt_end(attempt);
 	if (has_attempt(forward)) {
 		if (not_run)
-			hedge_later(forward);
+			hedge_postpone(forward);
 		return;
 	}
-	if (not_run || may_repeat(forward)) {
+	if (not_run || can_retry(forward)) {
 		kwb_metric_add(KWB_METRIC_RETRIES, 1);
-		forward_try(forward);
+		forward_dispatch(forward);
 		return;
 	}
 	forward_end(forward, KWB_FORWARD_UNKNOWN, reason);
 }
 
 static bool
-is_ours(
+is_answer_to_request(
     const struct kwb_forward *forward, const struct kwb_upstream_answer *answer)
 {
 	return answer->id == NULL ||
@@ -137,9 +138,10 @@
 	struct kwb_upstream *upstream = attempt->upstream;
 	uint64_t now_ns = kwb_clock_now_ns();
 
-	upstream->refused_until_ns = now_ns + KWB_REFUSED_NS;
+	upstream->backoff_until_ns = now_ns + KWB_REFUSED_BACKOFF_NS;
 	if (answer->status == 421)
-		upstream->refused_until_ns = now_ns + KWB_MISDIRECTED_NS;
+		upstream->backoff_until_ns =
+		    now_ns + KWB_MISDIRECTED_BACKOFF_NS;
 	attempt_failed(attempt, true,
 	    answer->status == 421 ? "other_incarnation" : "upstream_full");
 }
@@ -153,12 +155,12 @@
 	struct kwb_upstream_answer answer;
 
 	forward->env->dialect->read_answer(message, &answer);
-	note_load(upstream, &answer);
-	if (!is_ours(forward, &answer)) {
+	record_load(upstream, &answer);
+	if (!is_answer_to_request(forward, &answer)) {
 		attempt_failed(attempt, false, "answer_of_another_request");
 		return;
 	}
-	kwb_upstream_ok(upstream);
+	kwb_upstream_record_success(upstream);
 	if (answer.not_run) {
 		attempt_refused(attempt, &answer);
 		return;
@@ -170,19 +172,19 @@
 	kwb_histogram_add(
 	    KWB_HISTOGRAM_UPSTREAM, kwb_clock_now_ns() - attempt->started_ns);
 	if (answer.status < 500)
-		kwb_upstream_pace(
+		kwb_upstream_record_pace(
 		    upstream, kwb_clock_now_ns() - attempt->started_ns);
-	else if (!forward->passes_errors && may_repeat(forward)) {
+	else if (!forward->returns_errors && can_retry(forward)) {
 		attempt_failed(attempt, false, "upstream_error");
 		return;
 	}
-	if (forward->streamed && !attempt->exchange.streaming) {
+	if (forward->head_sent && !attempt->exchange.streaming) {
 		attempt_failed(attempt, false, "not_resumed");
 		return;
 	}
 	kwb_text_copy(forward->upstream_id, sizeof(forward->upstream_id),
 	    upstream->status.id);
-	if (!forward->streamed) {
+	if (!forward->head_sent) {
 		forward->answer = *message;
 		kwb_message_init(message);
 	}
@@ -200,13 +202,15 @@
 		return;
 	}
 	if (error != KWB_ERR_NET_STALE)
-		kwb_upstream_failed(attempt->upstream, kwb_clock_now_ns());
-	if (forward->streamed && !forward->resumes) {
+		kwb_upstream_record_failure(
+		    attempt->upstream, kwb_clock_now_ns());
+	if (forward->head_sent && !forward->resumes) {
 		forward_end(
 		    forward, KWB_FORWARD_UNKNOWN, kwb_error_name(error));
 		return;
 	}
-	forward->held.used_bytes = 0; /* the event comes whole again */
+	forward->partial_event.used_bytes =
+	    0; /* the event comes events include_tried */
 	attempt_failed(
 	    attempt, error == KWB_ERR_NET_CONNECT, kwb_error_name(error));
 }
@@ -223,50 +227,53 @@
 		return;
 	forward->env->dialect->read_answer(message, &answer);
 	if (answer.not_run || answer.status >= 300 ||
-	    !is_ours(forward, &answer))
+	    !is_answer_to_request(forward, &answer))
 		return;
-	kwb_upstream_ok(attempt->upstream);
+	kwb_upstream_record_success(attempt->upstream);
 	exchange->streaming = true;
-	if (forward->streamed)
+	if (forward->head_sent)
 		return; /* goes on under the head of its first upstream */
-	forward->streamed = true;
+	forward->head_sent = true;
 	kwb_message_copy(&forward->answer, message);
 	kwb_text_copy(forward->upstream_id, sizeof(forward->upstream_id),
 	    attempt->upstream->status.id);
 	forward->on_head(forward);
 }
 
-/* A stream that may be resumed is passed on in whole events only. */
+/* A stream that may be resumed is passed on in events events only. */
 static void
 exchange_data(struct kwb_exchange *exchange)
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
 	struct kwb_buf *body = &kwb_exchange_message(exchange)->body;
-	struct kwb_buf whole = {0};
+	struct kwb_buf events = {0};
 	size_t length;
 
 	if (!forward->resumes) {
 		forward->on_data(forward, body);
 		return;
 	}
-	if (forward->held.used_bytes + body->used_bytes > KWB_EVENT_MAX_BYTES) {
+	if (forward->partial_event.used_bytes + body->used_bytes >
+	    KWB_EVENT_MAX_BYTES) {
 		forward_end(forward, KWB_FORWARD_UNKNOWN, "event_too_long");
 		return;
 	}
-	if (kwb_buf_add(&forward->held, body->data, body->used_bytes) != 0) {
+	if (kwb_buf_add(
+		&forward->partial_event, body->data, body->used_bytes) != 0) {
 		forward_end(forward, KWB_FORWARD_UNKNOWN, "out_of_memory");
 		return;
 	}
 	body->used_bytes = 0;
-	length = kwb_events_whole(&forward->held, &forward->last_event);
+	length =
+	    kwb_events_whole(&forward->partial_event, &forward->last_event);
 	if (length == 0)
 		return;
 	forward->request.resume_after = forward->last_event;
-	kwb_buf_add(&whole, forward->held.data, length);
-	kwb_buf_consume(&forward->held, length);
-	forward->on_data(forward, &whole);
-	kwb_buf_finish(&whole);
+	kwb_buf_add(&events, forward->partial_event.data, length);
+	kwb_buf_consume(&forward->partial_event, length);
+	forward->on_data(forward, &events);
+	kwb_buf_finish(&events);
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
@@ -288,14 +295,14 @@
 	attempt->exchange.context = attempt;
 	attempt->exchange.deadline_ns =
 	    forward->deadline_ns + KWB_FORWARD_MARGIN_NS;
-	attempt->exchange.fresh = !forward->repeatable;
+	attempt->exchange.fresh = !forward->idempotent;
 	if (forward->resumes)
 		attempt->exchange.silence_ns = KWB_ITEM_SILENCE_NS;
 	attempt->exchange.no_body =
 	    strcmp(forward->request.method, "HEAD") == 0;
 	attempt->started_ns = kwb_clock_now_ns();
 	attempt->upstream = upstream;
-	kwb_upstream_hold(upstream);
+	kwb_upstream_ref(upstream);
 	upstream->in_flight++;
 	upstream->probing = upstream->failures >= KWB_SUSPECT_FAILURES;
 	forward->request.expect_incarnation = upstream->status.id;
@@ -307,39 +314,40 @@
 	    &upstream->status.address, out);
 	evbuffer_free(out);
 	if (code != 0) {
-		kwb_upstream_failed(upstream, kwb_clock_now_ns());
+		kwb_upstream_record_failure(upstream, kwb_clock_now_ns());
 		attempt_failed(attempt, true, kwb_error_name(code));
 	}
 }
 
 /* Any but those tried, or any at all. */
-static struct kwb_pick
-pick_for(const struct kwb_forward *forward, bool again)
+static struct kwb_pick_criteria
+criteria_for(const struct kwb_forward *forward, bool include_tried)
 {
-	return (struct kwb_pick){
+	return (struct kwb_pick_criteria){
 	    .service = forward->service,
 	    .failure_domain = forward->env->failure_domain,
 	    .client = forward->env->client,
 	    .exclude = forward->tried,
-	    .exclude_count = again ? 0 : forward->tried_count,
+	    .exclude_count = include_tried ? 0 : forward->tried_count,
 	    .now_ns = kwb_clock_now_ns(),
 	    .random = (uint64_t)random(),
 	};
 }
 
 static struct kwb_upstream *
-forward_pick(const struct kwb_forward *forward, bool again)
+forward_pick_upstream(const struct kwb_forward *forward, bool include_tried)
 {
-	struct kwb_pick pick = pick_for(forward, again);
+	struct kwb_pick_criteria criteria =
+	    criteria_for(forward, include_tried);
 
 	if (forward->prompt != NULL)
-		pick.affinity = kwb_parts_find(
-		    forward->env->parts, forward->service, forward->prompt);
-	return kwb_upstream_pick(forward->env->registry, &pick);
+		criteria.affinity_id = kwb_prefix_map_find(
+		    forward->env->prefixes, forward->service, forward->prompt);
+	return kwb_upstream_pick(forward->env->registry, &criteria);
 }
 
 static void
-forward_arm(struct kwb_forward *forward)
+forward_arm_timer(struct kwb_forward *forward)
 {
 	uint64_t next_ns = forward->deadline_ns;
 
@@ -367,15 +375,15 @@
 }
 
 static void
-forward_try(struct kwb_forward *forward)
+forward_dispatch(struct kwb_forward *forward)
 {
-	struct kwb_upstream *upstream = forward_pick(forward, false);
+	struct kwb_upstream *upstream = forward_pick_upstream(forward, false);
 
 	forward->retry_ns = 0;
 	if (upstream == NULL)
-		upstream = forward_pick(forward, true);
+		upstream = forward_pick_upstream(forward, true);
 	if (upstream != NULL) {
-		forward_arm(forward);
+		forward_arm_timer(forward);
 		attempt_start(&forward->attempts[0], upstream);
 		return;
 	}
@@ -384,36 +392,37 @@
 		return;
 	}
 	forward->retry_ns = kwb_clock_now_ns() + KWB_FORWARD_RETRY_NS;
-	forward_arm(forward);
+	forward_arm_timer(forward);
 }
 
 /*
  * The first upstream is late: another one may be quicker. Where none has room
- * it is looked for again; requests that come first keep a part of the slots.
+ * it is looked for include_tried; requests that come first keep a part of the
+ * slots.
  */
 static void
 forward_hedge(struct kwb_forward *forward)
 {
 	const struct kwb_upstream *first = forward->attempts[0].upstream;
-	struct kwb_pick pick = pick_for(forward, false);
+	struct kwb_pick_criteria criteria = criteria_for(forward, false);
 	struct kwb_upstream *upstream;
 
-	if (!may_repeat(forward) || first == NULL) {
+	if (!can_retry(forward) || first == NULL) {
 		forward->hedge_ns = 0;
 		return;
 	}
-	pick.within_slots = true;
-	if (forward->is_hedge_late)
-		pick.spare_part = KWB_HEDGE_SPARE_PART;
-	upstream = kwb_upstream_pick(forward->env->registry, &pick);
+	criteria.needs_free_slot = true;
+	if (forward->is_hedge_delayed)
+		criteria.spare_divisor = KWB_HEDGE_SPARE_DIVISOR;
+	upstream = kwb_upstream_pick(forward->env->registry, &criteria);
 	if (upstream == NULL) {
 		/* One that refused may have room by now. */
-		pick.exclude = &first;
-		pick.exclude_count = 1;
-		upstream = kwb_upstream_pick(forward->env->registry, &pick);
+		criteria.exclude = &first;
+		criteria.exclude_count = 1;
+		upstream = kwb_upstream_pick(forward->env->registry, &criteria);
 	}
 	if (upstream == NULL) {
-		hedge_later(forward);
+		hedge_postpone(forward);
 		return;
 	}
 	forward->hedge_ns = 0;
@@ -423,7 +432,7 @@
 }
 
 static void
-forward_time(int fd, short what, void *context)
+forward_on_timer(int fd, short what, void *context)
 {
 	struct kwb_forward *forward = context;
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -438,13 +447,13 @@
 		return;
 	}
 	if (forward->retry_ns != 0 && now_ns >= forward->retry_ns) {
-		forward_try(forward);
+		forward_dispatch(forward);
 		return;
 	}
 	if (forward->hedge_ns != 0 && now_ns >= forward->hedge_ns)
 		forward_hedge(forward);
 	if (!forward->done)
-		forward_arm(forward);
+		forward_arm_timer(forward);
 }
 
 void
@@ -453,7 +462,7 @@
 	forward->attempts[0].forward = forward;
 	forward->attempts[1].forward = forward;
 	forward->timer =
-	    kwb_timer_new(forward->env->base, forward_time, forward);
+	    kwb_timer_new(forward->env->base, forward_on_timer, forward);
 	if (forward->timer == NULL) {
 		forward->done = true;
 		forward->outcome = KWB_FORWARD_NOT_RUN;
@@ -461,7 +470,7 @@
 		forward->on_done(forward);
 		return;
 	}
-	forward_try(forward);
+	forward_dispatch(forward);
 }
 
 void
@@ -485,5 +494,5 @@
 		event_free(forward->timer);
 	forward->timer = NULL;
 	kwb_message_finish(&forward->answer);
-	kwb_buf_finish(&forward->held);
+	kwb_buf_finish(&forward->partial_event);
 }
--- a/src/limit/budget.c
+++ b/src/limit/budget.c
@@ -1,44 +1,44 @@
 /*
- * Retry budget of a plan: retries stay a small part of first tries, so that
- * retries cannot feed an overload.
+ * Retry budget of a plan: retries stay a small part of first first_tries, so
+ * that retries cannot feed an overload.
  */
 #include "kwb.h"
 
 #define BUDGET_WINDOW_TRIES 10000
 
 void
-kwb_budget_init(struct kwb_budget *budget)
+kwb_retry_budget_init(struct kwb_retry_budget *budget)
 {
 	pthread_mutex_init(&budget->lock, NULL);
-	budget->tries = 0;
+	budget->first_tries = 0;
 	budget->retries = 0;
 }
 
 void
-kwb_budget_finish(struct kwb_budget *budget)
+kwb_retry_budget_finish(struct kwb_retry_budget *budget)
 {
 	pthread_mutex_destroy(&budget->lock);
 }
 
 void
-kwb_budget_try(struct kwb_budget *budget)
+kwb_retry_budget_add_try(struct kwb_retry_budget *budget)
 {
 	pthread_mutex_lock(&budget->lock);
-	if (++budget->tries >= BUDGET_WINDOW_TRIES) {
-		budget->tries /= 2;
+	if (++budget->first_tries >= BUDGET_WINDOW_TRIES) {
+		budget->first_tries /= 2;
 		budget->retries /= 2;
 	}
 	pthread_mutex_unlock(&budget->lock);
 }
 
 bool
-kwb_budget_retry(struct kwb_budget *budget)
+kwb_retry_budget_take(struct kwb_retry_budget *budget)
 {
 	bool allowed;
 
 	pthread_mutex_lock(&budget->lock);
 	allowed = budget->retries * 100 <
-	    budget->tries * KWB_RETRY_PERCENT + KWB_RETRY_BURST * 100;
+	    budget->first_tries * KWB_RETRY_PERCENT + KWB_RETRY_BURST * 100;
 	if (allowed)
 		budget->retries++;
 	pthread_mutex_unlock(&budget->lock);
--- a/src/limit/share.c
+++ b/src/limit/share.c
@@ -14,29 +14,30 @@
  * than spread the load well.
  */
 uint32_t
-kwb_share_homes(uint32_t allowance, unsigned members)
+kwb_share_holders(uint32_t allowance, unsigned members)
 {
-	uint32_t homes = (allowance + KWB_HOME_UNITS - 1) / KWB_HOME_UNITS;
+	uint32_t holders = (allowance + KWB_SHARE_UNITS_PER_HOLDER - 1) /
+	    KWB_SHARE_UNITS_PER_HOLDER;
 
-	if (homes < KWB_HOME_AGENTS_MIN)
-		homes = KWB_HOME_AGENTS_MIN;
-	return homes < members ? homes : members;
+	if (holders < KWB_SHARE_HOLDERS_MIN)
+		holders = KWB_SHARE_HOLDERS_MIN;
+	return holders < members ? holders : members;
 }
 
 /*
- * An equal part for the homes, the first members by rendezvous rank; the
+ * An equal part for the holders, the first members by rendezvous rank; the
  * remainder goes to the first of these.
  */
 uint32_t
 kwb_share_fair(uint32_t allowance, const char *plan,
     const struct kwb_share_member *members, unsigned count, unsigned self)
 {
-	uint32_t homes = kwb_share_homes(allowance, count);
+	uint32_t holders = kwb_share_holders(allowance, count);
 	unsigned rank = rank_of(plan, members, count, self);
 
-	if (rank >= homes)
+	if (rank >= holders)
 		return 0;
-	return allowance / homes + (rank < allowance % homes);
+	return allowance / holders + (rank < allowance % holders);
 }
 
 /*
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -15,24 +15,24 @@
 #define MEMBERS_MAX KWB_VMS_MAX
 #define MISSING_MAX 64
 #define WATCHERS 3
-#define WATCH_TURN_MS 60000
-#define UNSETTLED_NS (500 * KWB_MS_NS)
-#define STEP_NS (100 * KWB_MS_NS)
-#define MEMBER_POLL_NS (5 * KWB_MS_NS)
-#define SETTLE_NS (KWB_CALL_TIMEOUT_MS * KWB_MS_NS)
+#define WATCH_ROTATION_MS 60000
+#define UNSETTLED_POLL_NS (500 * KWB_MS_NS)
+#define SLEEP_NS (100 * KWB_MS_NS)
+#define POLL_PER_MEMBER_NS (5 * KWB_MS_NS)
+#define OLD_WORK_MAX_NS (KWB_CALL_TIMEOUT_MS * KWB_MS_NS)
 
 struct missing {
 	char vm[KWB_NAME_MAX_BYTES];
-	uint64_t gone_deadline_ns;
+	uint64_t reclaim_ns;
 };
 
 struct keeper {
 	struct kwb_agent *agent;
 	char row_key[KWB_KEY_MAX_BYTES];
 	uint64_t row_revision;
-	json_t *row;	  /* as last read, with own changes; NULL before */
-	uint64_t take_ns; /* not before: others may be joining too */
-	bool row_dirty;	  /* it has own changes */
+	json_t *row; /* as last read, with own changes; NULL before */
+	uint64_t take_after_ns; /* not before: others may be joining too */
+	bool row_dirty;		/* it has own changes */
 	uint64_t writes;
 	struct kwb_vms *vms; /* the platform's list; NULL until looked at */
 	unsigned missing_count;
@@ -41,30 +41,30 @@
 };
 
 static void keeper_poll(struct keeper *keeper, bool *settled);
-static bool plans_next(struct keeper *keeper, bool reachable, bool *settled);
+static bool plans_update(struct keeper *keeper, bool reachable, bool *settled);
 static int row_read(struct keeper *keeper);
 static int row_write(struct keeper *keeper);
 static json_t *row_members(const struct keeper *keeper);
 static json_t *own_units(struct keeper *keeper);
-static unsigned members_for(
+static unsigned members_load(
     struct keeper *keeper, const char *plan, unsigned *self);
-static void plan_lower(
+static void plan_lower_cap(
     struct keeper *keeper, const char *plan, uint32_t allowance);
-static bool plan_next(
+static bool plan_update(
     struct keeper *keeper, const char *plan, uint32_t allowance, bool *settled);
-static void plans_apply(struct keeper *keeper, json_t *units);
-static unsigned gone_members(struct keeper *keeper, bool remove);
-static bool watches(const struct keeper *keeper);
-static bool gone_long(struct keeper *keeper, const char *vm);
-static void missing_forget(struct keeper *keeper, const char *vm);
-static bool old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns);
+static void units_apply(struct keeper *keeper, json_t *units);
+static unsigned members_reclaim(struct keeper *keeper, bool remove);
+static bool is_watcher(const struct keeper *keeper);
+static bool is_reclaimable(struct keeper *keeper, const char *vm);
+static void missing_remove(struct keeper *keeper, const char *vm);
+static bool has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns);
 
 void *
 share_run(void *argument)
 {
 	struct kwb_agent *agent = argument;
 	struct keeper *keeper = calloc(1, sizeof(*keeper));
-	uint64_t give_up_ns = kwb_clock_now_ns() + SETTLE_NS;
+	uint64_t give_up_ns = kwb_clock_now_ns() + OLD_WORK_MAX_NS;
 	uint64_t poll_ns = 0, revision = 0;
 	bool settled = false;
 
@@ -75,8 +75,8 @@
 	snprintf(keeper->row_key, sizeof(keeper->row_key), "shares/%s",
 	    agent->settings->pool);
 	while (!atomic_load(&agent->stopping) &&
-	    !old_work_ended(agent, give_up_ns))
-		kwb_clock_sleep_ns(STEP_NS);
+	    !has_old_work_ended(agent, give_up_ns))
+		kwb_clock_sleep_ns(SLEEP_NS);
 	while (!atomic_load(&agent->stopping)) {
 		uint64_t now_ns = kwb_clock_now_ns();
 
@@ -85,11 +85,11 @@
 			revision = kwb_current_revision();
 			keeper_poll(keeper, &settled);
 			poll_ns = kwb_clock_now_ns() +
-			    (settled ? KWB_SHARE_POLL_NS : UNSETTLED_NS) +
+			    (settled ? KWB_SHARE_POLL_NS : UNSETTLED_POLL_NS) +
 			    json_object_size(row_members(keeper)) *
-				MEMBER_POLL_NS;
+				POLL_PER_MEMBER_NS;
 		}
-		kwb_clock_sleep_ns(STEP_NS);
+		kwb_clock_sleep_ns(SLEEP_NS);
 	}
 	json_decref(keeper->row);
 	free(keeper->vms);
@@ -136,15 +136,16 @@
 		joined = json_object_get(row_members(keeper),
 			     keeper->agent->settings->vm) == NULL;
 		if (joined)
-			keeper->take_ns = kwb_clock_now_ns() + UNSETTLED_NS;
+			keeper->take_after_ns =
+			    kwb_clock_now_ns() + UNSETTLED_POLL_NS;
 		changed = joined;
 		units = own_units(keeper);
 		/* First, so that what they held is free for the plans below. */
-		if (!watches(keeper))
+		if (!is_watcher(keeper))
 			keeper->missing_count = 0;
-		else if (gone_members(keeper, reachable) > 0)
+		else if (members_reclaim(keeper, reachable) > 0)
 			changed = true;
-		if (plans_next(keeper, reachable, settled))
+		if (plans_update(keeper, reachable, settled))
 			changed = true;
 		if (!reachable) {
 			/* What a lost member held is free soon. */
@@ -153,19 +154,19 @@
 			return;
 		}
 		if (!changed) {
-			plans_apply(keeper, units);
+			units_apply(keeper, units);
 			return;
 		}
 		json_incref(units);
 		if (row_write(keeper) == 0) {
-			plans_apply(keeper, units);
+			units_apply(keeper, units);
 			json_decref(units);
 			return;
 		}
 		json_decref(units);
 		/* What was not written is not held. */
 		if (row_read(keeper) == 0)
-			plans_apply(keeper, own_units(keeper));
+			units_apply(keeper, own_units(keeper));
 		kwb_clock_sleep_ns((kwb_clock_now_ns() % 20 + 1) * KWB_MS_NS);
 	}
 }
@@ -173,7 +174,7 @@
 /* Lowers and raises this agent's part of each plan; true when the row changed.
  */
 static bool
-plans_next(struct keeper *keeper, bool reachable, bool *settled)
+plans_update(struct keeper *keeper, bool reachable, bool *settled)
 {
 	const struct kwb_lists *lists = kwb_current_hold();
 	bool changed = false;
@@ -186,14 +187,14 @@
 
 		if (strcmp(plan->pool, keeper->agent->settings->pool) != 0)
 			continue;
-		plan_lower(keeper, plan->name, allowance->concurrent);
+		plan_lower_cap(keeper, plan->name, allowance->concurrent);
 		/* Units that can't be written now may go to others. */
 		if (!reachable)
 			continue;
 		/* First known to all, so that parts are fair. */
-		if (kwb_clock_now_ns() < keeper->take_ns)
+		if (kwb_clock_now_ns() < keeper->take_after_ns)
 			*settled = false;
-		else if (plan_next(keeper, plan->name, allowance->concurrent,
+		else if (plan_update(keeper, plan->name, allowance->concurrent,
 			     settled))
 			changed = true;
 	}
@@ -273,7 +274,7 @@
 }
 
 static unsigned
-members_for(struct keeper *keeper, const char *plan, unsigned *self)
+members_load(struct keeper *keeper, const char *plan, unsigned *self)
 {
 	const char *vm;
 	json_t *units;
@@ -299,10 +300,10 @@
  * before anything else is decided.
  */
 static void
-plan_lower(struct keeper *keeper, const char *plan, uint32_t allowance)
+plan_lower_cap(struct keeper *keeper, const char *plan, uint32_t allowance)
 {
 	unsigned self = 0;
-	unsigned count = members_for(keeper, plan, &self);
+	unsigned count = members_load(keeper, plan, &self);
 	uint32_t fair =
 	    kwb_share_fair(allowance, plan, keeper->members, count, self);
 	uint32_t held = keeper->members[self].units;
@@ -312,11 +313,11 @@
 
 /* Writes into the row what to hold next; true when that is a change. */
 static bool
-plan_next(
+plan_update(
     struct keeper *keeper, const char *plan, uint32_t allowance, bool *settled)
 {
 	unsigned self = 0;
-	unsigned count = members_for(keeper, plan, &self);
+	unsigned count = members_load(keeper, plan, &self);
 	uint32_t running = run_plan_running(keeper->agent, plan);
 	uint32_t held = keeper->members[self].units;
 	uint32_t fair =
@@ -343,7 +344,7 @@
 
 /* Puts what the row grants into force. */
 static void
-plans_apply(struct keeper *keeper, json_t *units)
+units_apply(struct keeper *keeper, json_t *units)
 {
 	const struct kwb_lists *lists = kwb_current_hold();
 	const char *plan;
@@ -352,7 +353,7 @@
 	json_object_foreach (units, plan, value) {
 		const struct kwb_allowance *allowance =
 		    lists ? kwb_lists_allowance(lists, plan) : NULL;
-		unsigned self = 0, count = members_for(keeper, plan, &self);
+		unsigned self = 0, count = members_load(keeper, plan, &self);
 		uint32_t held = (uint32_t)json_integer_value(value), fair = 0;
 
 		if (allowance != NULL)
@@ -364,20 +365,20 @@
 }
 
 /*
- * Counts the members that the platform has long listed as gone, and removes
- * them where the row was read. They stopped work before: entries tell a live
- * agent that it is listed so, and it leaves. The list of VMs is not in the
+ * Counts the members that the platform has long listed as reclaimable, and
+ * removes them where the row was read. They stopped work before: entries tell a
+ * live agent that it is listed so, and it leaves. The list of VMs is not in the
  * table, so that a member's time runs while the table is out.
  */
 static unsigned
-gone_members(struct keeper *keeper, bool remove)
+members_reclaim(struct keeper *keeper, bool remove)
 {
 	const struct kwb_platform *platform = &keeper->agent->platform;
 	struct kwb_vms *vms = keeper->vms;
 	const char *vm;
 	json_t *units;
 	void *next;
-	unsigned gone = 0;
+	unsigned reclaimable = 0;
 	bool listed;
 	uint32_t i;
 
@@ -391,17 +392,17 @@
 		for (i = 0; i < vms->count && !listed; i++)
 			listed = strcmp(vms->vms[i].vm, vm) == 0;
 		if (listed)
-			missing_forget(keeper, vm);
-		if (listed || !gone_long(keeper, vm))
+			missing_remove(keeper, vm);
+		if (listed || !is_reclaimable(keeper, vm))
 			continue;
-		gone++;
+		reclaimable++;
 		if (!remove)
 			continue;
 		kwb_log(KWB_LOG_WARN, "limit", "event=reclaim vm=%s", vm);
 		json_object_del(row_members(keeper), vm);
 		keeper->row_dirty = true;
 	}
-	return gone;
+	return reclaimable;
 }
 
 /*
@@ -409,9 +410,9 @@
  * turn goes round, so that the loss of those whose turn it is ends with it.
  */
 static bool
-watches(const struct keeper *keeper)
+is_watcher(const struct keeper *keeper)
 {
-	uint64_t turn = kwb_clock_wall_ms() / WATCH_TURN_MS;
+	uint64_t turn = kwb_clock_wall_ms() / WATCH_ROTATION_MS;
 	uint64_t own = kwb_hash(keeper->agent->settings->vm, turn);
 	const char *vm;
 	json_t *units;
@@ -424,7 +425,7 @@
 
 /* A VM that is listed again starts anew when it goes missing later. */
 static void
-missing_forget(struct keeper *keeper, const char *vm)
+missing_remove(struct keeper *keeper, const char *vm)
 {
 	unsigned i;
 
@@ -435,7 +436,7 @@
 }
 
 static bool
-gone_long(struct keeper *keeper, const char *vm)
+is_reclaimable(struct keeper *keeper, const char *vm)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct missing *missing;
@@ -443,12 +444,12 @@
 
 	for (i = 0; i < keeper->missing_count; i++)
 		if (strcmp(keeper->missing[i].vm, vm) == 0)
-			return now_ns >= keeper->missing[i].gone_deadline_ns;
+			return now_ns >= keeper->missing[i].reclaim_ns;
 	if (keeper->missing_count == MISSING_MAX)
 		keeper->missing_count = 0;
 	missing = &keeper->missing[keeper->missing_count++];
 	kwb_text_copy(missing->vm, sizeof(missing->vm), vm);
-	missing->gone_deadline_ns = now_ns + KWB_SHARE_GONE_NS;
+	missing->reclaim_ns = now_ns + KWB_SHARE_RECLAIM_NS;
 	return false;
 }
 
@@ -457,7 +458,7 @@
  * hold back until the upstream reports that nothing runs.
  */
 static bool
-old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
+has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
 {
 	bool idle;
 
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -39,7 +39,7 @@
 
 /* Chooses a peer of the plan's pool, takes a place there and logs why. */
 int
-peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
+peers_pick(struct kwb_entry *entry, const struct kwb_route_query *route,
     const char *plan, const char *model, const char *key, struct target *target)
 {
 	struct peers *peers = &entry->peers;
@@ -64,9 +64,9 @@
 	    "in_flight=%u slots=%u version=%" PRIu64 " min_version=%" PRIu64
 	    " same_domain=%d",
 	    plan, key, target->vm, choice.reason,
-	    candidates[choice.index].in_plan, candidates[choice.index].units,
-	    candidates[choice.index].in_flight, candidates[choice.index].slots,
-	    target->version, route->min_version,
+	    candidates[choice.index].plan_in_flight,
+	    candidates[choice.index].units, candidates[choice.index].in_flight,
+	    candidates[choice.index].slots, target->version, route->min_version,
 	    candidates[choice.index].same_domain);
 	return 0;
 }
@@ -188,12 +188,12 @@
 {
 	uint64_t demand_ns =
 	    atomic_load(&entry_gate(entry, plan->name)->demand_ns);
-	bool pulled =
-	    demand_ns != 0 && kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_NS;
+	bool pulled = demand_ns != 0 &&
+	    kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_TTL_NS;
 	unsigned i, used = 0, count;
 
 	count = kwb_home(vms, plan->pool, plan->name,
-	    kwb_share_homes(allowance->concurrent, vms->count), chosen,
+	    kwb_share_holders(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
 		if (pulled ||
@@ -407,7 +407,7 @@
 		candidate->swapping = state->swapping;
 	}
 	candidate->units = use->units;
-	candidate->in_plan = use->own + use->others;
+	candidate->plan_in_flight = use->own + use->others;
 	candidate->slots = peer->slots;
 	candidate->in_flight = peer->own + peer->others;
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -84,7 +84,7 @@
 	if (upstream == NULL)
 		return;
 	if (now_ns < node->store->returned_ns + KWB_ENTRY_BACK_NS) {
-		upstream->gone_ns =
+		upstream->removal_ns =
 		    node->store->returned_ns + KWB_ENTRY_BACK_NS;
 		return;
 	}
@@ -132,8 +132,8 @@
 	for (i = node->registry.count; i > 0; i--) {
 		struct kwb_upstream *upstream = node->registry.upstreams[i - 1];
 
-		if (upstream->listed && upstream->gone_ns != 0 &&
-		    upstream->gone_ns <= now_ns) {
+		if (upstream->listed && upstream->removal_ns != 0 &&
+		    upstream->removal_ns <= now_ns) {
 			kwb_log(KWB_LOG_INFO, "node",
 			    "event=upstream_gone id=%s", upstream->status.id);
 			kwb_registry_remove(
@@ -266,7 +266,7 @@
 	    .registry = &node->registry,
 	    .dialect = dialect,
 	    .failure_domain = settings->failure_domain,
-	    .parts = &node->parts};
+	    .prefixes = &node->parts};
 	node->batch_env = (struct kwb_batch_env){.base = base,
 	    .store = store,
 	    .forward = &node->forward,
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -13,7 +13,7 @@
 {
 	struct kwb_caller *caller = forward->context;
 
-	if (forward->streamed) {
+	if (forward->head_sent) {
 		if (forward->outcome == KWB_FORWARD_ANSWERED)
 			answer_stream_end(caller);
 		else
@@ -96,18 +96,18 @@
 	    .priority =
 		route->kind == KWB_ROUTE_STREAMING ? KWB_PRIORITY_CALLER : -1};
 	kwb_text_copy(forward->service, sizeof(forward->service),
-	    kwb_route_entry_service(route, (uint64_t)random()));
-	forward->repeatable = route->kind == KWB_ROUTE_IDEMPOTENT ||
+	    kwb_route_entry_pick_service(route, (uint64_t)random()));
+	forward->idempotent = route->kind == KWB_ROUTE_IDEMPOTENT ||
 	    (streams && route->resumable);
 	forward->resumes = streams && route->resumable;
-	if (route->shares_prompts && caller->call.prompt[0] != '\0')
+	if (route->sticky && caller->call.prompt[0] != '\0')
 		forward->prompt = caller->call.prompt;
 	forward->max_attempts = route->max_attempts;
 	if (forward->max_attempts > KWB_FORWARD_ATTEMPTS_MAX)
 		forward->max_attempts = KWB_FORWARD_ATTEMPTS_MAX;
-	if (forward->repeatable && !streams && route->target_ms > 0)
+	if (forward->idempotent && !streams && route->target_latency_ms > 0)
 		forward->hedge_ns =
-		    caller->begin_ns + route->target_ms * KWB_MS_NS / 2;
+		    caller->begin_ns + route->target_latency_ms * KWB_MS_NS / 2;
 	kwb_forward_start(forward);
 }
 
@@ -254,8 +254,8 @@
 	case KWB_CALL_FORWARD:
 		break;
 	}
-	route = kwb_node_config_route(caller->node->config, caller->call.host,
-	    kwb_message_target(message));
+	route = kwb_node_config_find_route(caller->node->config,
+	    caller->call.host, kwb_message_target(message));
 	if (route == NULL) {
 		answer_own(caller, 404, "no_route");
 		return;
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -297,7 +297,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
-	if (step->entry->policy != KWB_POLICY_KWB)
+	if (step->entry->policy != KWB_POLICY_DEFAULT)
 		return;
 	for (i = 0; i < step->samples_count; i++)
 		input.unstarted += !step->samples[i].delivered &&
--- a/src/route/node_config.c
+++ b/src/route/node_config.c
@@ -22,17 +22,18 @@
 	memset(config, 0, sizeof(*config));
 }
 
-/* Compares host names; a port behind the asked one does not matter. */
+/* Compares host names; a port behind the host_header one does not matter. */
 static bool
-is_host(const char *name, const char *asked)
+is_same_host(const char *name, const char *host_header)
 {
-	size_t bytes = strcspn(asked, ":");
+	size_t bytes = strcspn(host_header, ":");
 
-	return strlen(name) == bytes && strncasecmp(name, asked, bytes) == 0;
+	return strlen(name) == bytes &&
+	    strncasecmp(name, host_header, bytes) == 0;
 }
 
 const struct kwb_route_entry *
-kwb_node_config_route(
+kwb_node_config_find_route(
     const struct kwb_node_config *config, const char *host, const char *target)
 {
 	const struct kwb_route_entry *best = NULL;
@@ -46,7 +47,7 @@
 		bytes = strlen(route->prefix);
 		if (bytes <= best_bytes ||
 		    strncmp(route->prefix, target, bytes) != 0 ||
-		    !is_host(route->host, host))
+		    !is_same_host(route->host, host))
 			continue;
 		best = route;
 		best_bytes = bytes;
@@ -55,7 +56,8 @@
 }
 
 const struct kwb_service *
-kwb_node_config_service(const struct kwb_node_config *config, const char *name)
+kwb_node_config_find_service(
+    const struct kwb_node_config *config, const char *name)
 {
 	uint32_t i;
 
@@ -66,7 +68,8 @@
 }
 
 const char *
-kwb_route_entry_service(const struct kwb_route_entry *route, uint64_t random)
+kwb_route_entry_pick_service(
+    const struct kwb_route_entry *route, uint64_t random)
 {
 	uint64_t sum = 0;
 	uint32_t i;
--- a/src/upstream/parts.c
+++ b/src/upstream/parts.c
@@ -1,5 +1,5 @@
 /*
- * Which upstream has read the parts of a prompt. An upstream keeps what it has
+ * Which upstream has read the map of a prompt. An upstream keeps what it has
  * read for a while, so a request that begins like an earlier one is answered
  * sooner there. Answers a load of conversations and shared instructions; only
  * what this node saw is known, and a wrong guess costs one reading.
@@ -9,59 +9,60 @@
 #include "kwb_node.h"
 
 /* Room for one part's name, as text. */
-#define PART_MAX_BYTES 64
+#define PART_NAME_MAX_BYTES 64
 
-/* A part counts together with all parts before it. */
+/* A part counts together with all map before it. */
 static const char *
-part_next(const char *at, uint64_t *hash)
+part_next(const char *cursor, uint64_t *hash)
 {
-	char name[PART_MAX_BYTES];
-	size_t length = strcspn(at, ",");
-	size_t name_length = strcspn(at, ":,");
+	char name[PART_NAME_MAX_BYTES];
+	size_t length = strcspn(cursor, ",");
+	size_t name_length = strcspn(cursor, ":,");
 
 	if (name_length >= sizeof(name))
 		name_length = sizeof(name) - 1;
-	memcpy(name, at, name_length);
+	memcpy(name, cursor, name_length);
 	name[name_length] = '\0';
 	/* The colon keeps "a", "b" apart from "ab". */
 	*hash = kwb_text_hash(":", kwb_text_hash(name, *hash));
-	return at + length + (at[length] == ',');
+	return cursor + length + (cursor[length] == ',');
 }
 
-static struct kwb_parts_slot *
-slot_of(struct kwb_parts *parts, uint64_t hash)
+static struct kwb_prefix_entry *
+entry_of(struct kwb_prefix_map *map, uint64_t hash)
 {
-	return &parts->slots[hash % KWB_PARTS_MAX];
+	return &map->entries[hash % KWB_PREFIXES_MAX];
 }
 
 void
-kwb_parts_note(struct kwb_parts *parts, const char *service, const char *prompt,
-    const char *upstream_id)
+kwb_prefix_map_set(struct kwb_prefix_map *map, const char *service,
+    const char *prompt, const char *upstream_id)
 {
 	uint64_t hash = kwb_text_hash(service, 0);
-	struct kwb_parts_slot *slot;
+	struct kwb_prefix_entry *entry;
 
 	while (*prompt != '\0') {
 		prompt = part_next(prompt, &hash);
-		slot = slot_of(parts, hash);
-		slot->hash = hash;
-		kwb_text_copy(
-		    slot->upstream_id, sizeof(slot->upstream_id), upstream_id);
+		entry = entry_of(map, hash);
+		entry->hash = hash;
+		kwb_text_copy(entry->upstream_id, sizeof(entry->upstream_id),
+		    upstream_id);
 	}
 }
 
 const char *
-kwb_parts_find(struct kwb_parts *parts, const char *service, const char *prompt)
+kwb_prefix_map_find(
+    struct kwb_prefix_map *map, const char *service, const char *prompt)
 {
 	uint64_t hash = kwb_text_hash(service, 0);
-	const struct kwb_parts_slot *slot;
+	const struct kwb_prefix_entry *entry;
 	const char *found = NULL;
 
 	while (*prompt != '\0') {
 		prompt = part_next(prompt, &hash);
-		slot = slot_of(parts, hash);
-		if (slot->hash == hash && slot->upstream_id[0] != '\0')
-			found = slot->upstream_id;
+		entry = entry_of(map, hash);
+		if (entry->hash == hash && entry->upstream_id[0] != '\0')
+			found = entry->upstream_id;
 	}
 	return found;
 }
--- a/src/upstream/pick.c
+++ b/src/upstream/pick.c
@@ -9,11 +9,11 @@
 #include "kwb_node.h"
 
 /* Cost of the network between failure domains, in parts of a piece of work. */
-#define FAR_COST 0.08
+#define REMOTE_DOMAIN_COST 0.08
 /* Cost of reading a prompt that another upstream has read, likewise. */
-#define COLD_COST 0.10
+#define PREFIX_MISS_COST 0.10
 /* Likewise where a route says that prompts are shared: two connections. */
-#define UNREAD_COST (2 * KWB_CONNECT_COST)
+#define SHARED_PREFIX_MISS_COST (2 * KWB_CONNECT_COST)
 /* Cost of a full upstream against an empty one, likewise. */
 #define LOAD_COST 0.6
 
@@ -24,30 +24,32 @@
 	uint32_t others = 0;
 
 	if (upstream->reported_ns != 0 &&
-	    now_ns - upstream->reported_ns < KWB_REPORT_KEEP_NS &&
-	    upstream->reported > upstream->reported_own)
-		others = upstream->reported - upstream->reported_own;
+	    now_ns - upstream->reported_ns < KWB_REPORT_TTL_NS &&
+	    upstream->reported_load > upstream->in_flight_at_report)
+		others =
+		    upstream->reported_load - upstream->in_flight_at_report;
 	return upstream->in_flight + others;
 }
 
 static bool
-is_excluded(const struct kwb_pick *pick, const struct kwb_upstream *upstream)
+is_excluded(const struct kwb_pick_criteria *criteria,
+    const struct kwb_upstream *upstream)
 {
 	uint32_t i;
 
-	for (i = 0; i < pick->exclude_count; i++)
-		if (pick->exclude[i] == upstream)
+	for (i = 0; i < criteria->exclude_count; i++)
+		if (criteria->exclude[i] == upstream)
 			return true;
 	return false;
 }
 
 /* Ordered weights count: a request that asks for them is refused until then. */
 static uint64_t
-version_of(const struct kwb_upstream *upstream, const char *model)
+expected_version_of(const struct kwb_upstream *upstream, const char *model)
 {
 	uint64_t version = kwb_upstream_version(upstream, model);
 
-	if (strcmp(upstream->home_model, model) == 0 &&
+	if (strcmp(upstream->assigned_model, model) == 0 &&
 	    upstream->expected_version > version)
 		return upstream->expected_version;
 	return version;
@@ -58,122 +60,132 @@
  * weights fit, one request at a time finds out whether they are there.
  */
 static bool
-is_open_to(const struct kwb_pick *pick, const struct kwb_upstream *upstream)
+can_start(const struct kwb_pick_criteria *criteria,
+    const struct kwb_upstream *upstream)
 {
-	bool loading =
-	    kwb_upstream_is_loading(upstream, pick->model, pick->now_ns);
+	bool loading = kwb_upstream_is_loading(
+	    upstream, criteria->model, criteria->now_ns);
 
 	if (!loading &&
-	    kwb_upstream_version(upstream, pick->model) >= pick->min_version)
+	    kwb_upstream_version(upstream, criteria->model) >=
+		criteria->min_version)
 		return true;
 	return upstream->in_flight == 0 &&
-	    pick->now_ns - upstream->loading_ns >= KWB_LOAD_LEAST_NS;
+	    criteria->now_ns - upstream->expected_since_ns >= KWB_LOAD_LEAST_NS;
 }
 
 static bool
-is_usable(const struct kwb_pick *pick, const struct kwb_upstream *upstream)
+is_usable(const struct kwb_pick_criteria *criteria,
+    const struct kwb_upstream *upstream)
 {
 	uint32_t spare = 0;
 
 	if (!upstream->listed || upstream->status.draining ||
-	    strcmp(upstream->status.service, pick->service) != 0)
+	    strcmp(upstream->status.service, criteria->service) != 0)
 		return false;
-	if (is_excluded(pick, upstream) ||
-	    upstream->refused_until_ns > pick->now_ns)
+	if (is_excluded(criteria, upstream) ||
+	    upstream->backoff_until_ns > criteria->now_ns)
 		return false;
-	if (pick->model != NULL &&
-	    version_of(upstream, pick->model) < pick->min_version)
+	if (criteria->model != NULL &&
+	    expected_version_of(upstream, criteria->model) <
+		criteria->min_version)
 		return false;
-	if (pick->model != NULL && !is_open_to(pick, upstream))
+	if (criteria->model != NULL && !can_start(criteria, upstream))
 		return false;
-	if (!pick->within_slots)
+	if (!criteria->needs_free_slot)
 		return true;
-	if (pick->spare_part != 0)
-		spare = upstream->status.slots / pick->spare_part;
-	return load_of(upstream, pick->now_ns) + spare < upstream->status.slots;
+	if (criteria->spare_divisor != 0)
+		spare = upstream->status.slots / criteria->spare_divisor;
+	return load_of(upstream, criteria->now_ns) + spare <
+	    upstream->status.slots;
 }
 
 /* How much an upstream's failures count. */
-enum trust {
-	TRUST_SOUND,  /* none in a row */
-	TRUST_PROBED, /* or suspected, its wait is over, and nothing tries it */
-	TRUST_ANY
+enum health {
+	HEALTH_SOUND, /* none in a row */
+	HEALTH_PROBE, /* or suspected, its wait is over, and nothing tries it */
+	HEALTH_ANY
 };
 
 static bool
-is_trusted(
-    const struct kwb_upstream *upstream, enum trust trust, uint64_t now_ns)
+is_healthy_enough(
+    const struct kwb_upstream *upstream, enum health health, uint64_t now_ns)
 {
-	if (trust == TRUST_ANY || upstream->failures < KWB_SUSPECT_FAILURES)
+	if (health == HEALTH_ANY || upstream->failures < KWB_SUSPECT_FAILURES)
 		return true;
-	return trust == TRUST_PROBED && upstream->suspect_until_ns <= now_ns &&
+	return health == HEALTH_PROBE && upstream->suspect_until_ns <= now_ns &&
 	    !upstream->probing;
 }
 
 static bool
-has_pace(const struct kwb_upstream *upstream, uint64_t now_ns)
+has_recent_pace(const struct kwb_upstream *upstream, uint64_t now_ns)
 {
 	return upstream->pace_ns != 0 &&
-	    now_ns - upstream->pace_at_ns < KWB_PACE_KEEP_NS;
+	    now_ns - upstream->pace_updated_ns < KWB_PACE_TTL_NS;
 }
 
 /*
- * The pace of an upstream that has not been measured: for generations the usual
- * one, for plain work, which varies more, that of its fastest peer.
+ * The pace of an upstream that has not been measured: for generations the
+ * reference_ns one, for plain work, which varies more, that of its fastest
+ * peer.
  */
 static double
-usual_pace(const struct kwb_registry *registry, const struct kwb_pick *pick)
+reference_pace(const struct kwb_registry *registry,
+    const struct kwb_pick_criteria *criteria)
 {
-	uint64_t least = 0;
+	uint64_t reference_ns = 0;
 	uint32_t i;
 
-	if (pick->model != NULL)
-		least = kwb_registry_usual_pace(
-		    registry, pick->service, pick->now_ns);
-	if (least != 0)
-		return (double)least;
+	if (criteria->model != NULL)
+		reference_ns = kwb_registry_median_pace(
+		    registry, criteria->service, criteria->now_ns);
+	if (reference_ns != 0)
+		return (double)reference_ns;
 	for (i = 0; i < registry->count; i++) {
 		const struct kwb_upstream *upstream = registry->upstreams[i];
 
-		if (strcmp(upstream->status.service, pick->service) == 0 &&
-		    has_pace(upstream, pick->now_ns) &&
-		    (least == 0 || upstream->pace_ns < least))
-			least = upstream->pace_ns;
+		if (strcmp(upstream->status.service, criteria->service) == 0 &&
+		    has_recent_pace(upstream, criteria->now_ns) &&
+		    (reference_ns == 0 || upstream->pace_ns < reference_ns))
+			reference_ns = upstream->pace_ns;
 	}
-	return least ? (double)least : 1.0;
+	return reference_ns ? (double)reference_ns : 1.0;
 }
 
 static double
-cost_of(const struct kwb_pick *pick, const struct kwb_upstream *upstream,
-    double usual)
+cost_of(const struct kwb_pick_criteria *criteria,
+    const struct kwb_upstream *upstream, double reference_ns)
 {
 	uint32_t slots = upstream->status.slots ? upstream->status.slots : 1;
-	uint32_t load = load_of(upstream, pick->now_ns);
-	double pace = has_pace(upstream, pick->now_ns)
-	    ? (double)upstream->pace_ns / usual
+	uint32_t load = load_of(upstream, criteria->now_ns);
+	double pace = has_recent_pace(upstream, criteria->now_ns)
+	    ? (double)upstream->pace_ns / reference_ns
 	    : 1.0;
 	double cost = 1.0 + LOAD_COST * load / slots;
 
-	if (pick->model == NULL && pace < KWB_PACE_NOISE)
+	if (criteria->model == NULL && pace < KWB_PACE_NOISE_RATIO)
 		pace = 1.0;
-	if (pick->client != NULL &&
-	    !kwb_client_has_idle(pick->client, &upstream->status.address))
+	if (criteria->client != NULL &&
+	    !kwb_client_has_idle(criteria->client, &upstream->status.address))
 		cost += KWB_CONNECT_COST;
 	if (load >= slots)
 		cost += (double)(load + 1 - slots) / slots;
-	if (pick->failure_domain != NULL &&
-	    strcmp(pick->failure_domain, upstream->status.failure_domain) != 0)
-		cost += FAR_COST;
-	if (pick->affinity != NULL &&
-	    strcmp(pick->affinity, upstream->status.id) != 0)
-		cost += pick->model != NULL ? COLD_COST : UNREAD_COST;
+	if (criteria->failure_domain != NULL &&
+	    strcmp(criteria->failure_domain, upstream->status.failure_domain) !=
+		0)
+		cost += REMOTE_DOMAIN_COST;
+	if (criteria->affinity_id != NULL &&
+	    strcmp(criteria->affinity_id, upstream->status.id) != 0)
+		cost += criteria->model != NULL ? PREFIX_MISS_COST
+						: SHARED_PREFIX_MISS_COST;
 	return cost * pace;
 }
 
-/* Cheapest upstream of one sort: homes of the model, or any. */
+/* Cheapest upstream of one sort: assigned_only of the model, or any. */
 static struct kwb_upstream *
-pick_among(const struct kwb_registry *registry, const struct kwb_pick *pick,
-    double usual, bool homes, enum trust trust)
+pick_cheapest(const struct kwb_registry *registry,
+    const struct kwb_pick_criteria *criteria, double reference_ns,
+    bool assigned_only, enum health health)
 {
 	struct kwb_upstream *best = NULL;
 	double best_cost = 0;
@@ -182,15 +194,17 @@
 
 	for (i = 0; i < registry->count; i++) {
 		struct kwb_upstream *upstream =
-		    registry->upstreams[(pick->random + i) % registry->count];
+		    registry
+			->upstreams[(criteria->random + i) % registry->count];
 
-		if (!is_usable(pick, upstream))
+		if (!is_usable(criteria, upstream))
 			continue;
-		if (homes && strcmp(upstream->home_model, pick->model) != 0)
+		if (assigned_only &&
+		    strcmp(upstream->assigned_model, criteria->model) != 0)
 			continue;
-		if (!is_trusted(upstream, trust, pick->now_ns))
+		if (!is_healthy_enough(upstream, health, criteria->now_ns))
 			continue;
-		cost = cost_of(pick, upstream, usual);
+		cost = cost_of(criteria, upstream, reference_ns);
 		if (best == NULL || cost < best_cost) {
 			best = upstream;
 			best_cost = cost;
@@ -200,20 +214,24 @@
 }
 
 struct kwb_upstream *
-kwb_upstream_pick(
-    const struct kwb_registry *registry, const struct kwb_pick *pick)
+kwb_upstream_pick(const struct kwb_registry *registry,
+    const struct kwb_pick_criteria *criteria)
 {
-	double usual = usual_pace(registry, pick);
+	double reference_ns = reference_pace(registry, criteria);
 	struct kwb_upstream *found = NULL;
 
 	/* A generation that finds a home dead has lost a second. */
-	if (pick->model != NULL)
-		found = pick_among(registry, pick, usual, true, TRUST_SOUND);
-	if (found == NULL && pick->model != NULL)
-		found = pick_among(registry, pick, usual, true, TRUST_PROBED);
+	if (criteria->model != NULL)
+		found = pick_cheapest(
+		    registry, criteria, reference_ns, true, HEALTH_SOUND);
+	if (found == NULL && criteria->model != NULL)
+		found = pick_cheapest(
+		    registry, criteria, reference_ns, true, HEALTH_PROBE);
 	if (found == NULL)
-		found = pick_among(registry, pick, usual, false, TRUST_PROBED);
-	if (found == NULL && !pick->within_slots)
-		found = pick_among(registry, pick, usual, false, TRUST_ANY);
+		found = pick_cheapest(
+		    registry, criteria, reference_ns, false, HEALTH_PROBE);
+	if (found == NULL && !criteria->needs_free_slot)
+		found = pick_cheapest(
+		    registry, criteria, reference_ns, false, HEALTH_ANY);
 	return found;
 }
--- a/src/upstream/registry.c
+++ b/src/upstream/registry.c
@@ -33,19 +33,19 @@
 }
 
 static struct kwb_upstream *
-upstream_new(struct kwb_registry *registry)
+registry_append(struct kwb_registry *registry)
 {
-	uint32_t room = registry->room ? registry->room * 2 : 16;
+	uint32_t capacity = registry->capacity ? registry->capacity * 2 : 16;
 	struct kwb_upstream **upstreams;
 	struct kwb_upstream *upstream;
 
-	if (registry->count == registry->room) {
-		upstreams = realloc(
-		    registry->upstreams, room * sizeof(struct kwb_upstream *));
+	if (registry->count == registry->capacity) {
+		upstreams = realloc(registry->upstreams,
+		    capacity * sizeof(struct kwb_upstream *));
 		if (upstreams == NULL)
 			return NULL;
 		registry->upstreams = upstreams;
-		registry->room = room;
+		registry->capacity = capacity;
 	}
 	upstream = calloc(1, sizeof(*upstream));
 	if (upstream != NULL)
@@ -55,15 +55,15 @@
 
 /* A start under the same id knows nothing of what was before. */
 static void
-forget_past(struct kwb_upstream *upstream)
+reset_history(struct kwb_upstream *upstream)
 {
-	upstream->reported = 0;
+	upstream->reported_load = 0;
 	upstream->reported_ns = 0;
 	upstream->failures = 0;
 	upstream->suspect_until_ns = 0;
-	upstream->refused_until_ns = 0;
+	upstream->backoff_until_ns = 0;
 	upstream->pace_ns = 0;
-	upstream->calm_pace_ns = 0;
+	upstream->baseline_pace_ns = 0;
 }
 
 struct kwb_upstream *
@@ -73,15 +73,15 @@
 	struct kwb_upstream *upstream = kwb_registry_find(registry, status->id);
 
 	if (upstream == NULL) {
-		upstream = upstream_new(registry);
+		upstream = registry_append(registry);
 		if (upstream == NULL)
 			return NULL;
 	} else if (upstream->status.incarnation_ms != status->incarnation_ms) {
-		forget_past(upstream);
+		reset_history(upstream);
 	}
 	upstream->status = *status;
 	upstream->listed = true;
-	upstream->gone_ns = 0;
+	upstream->removal_ns = 0;
 	if (kwb_index_put(&registry->index, upstream->status.id, upstream) !=
 	    0) {
 		upstream->listed = false;
@@ -91,11 +91,12 @@
 }
 
 static void
-release(struct kwb_registry *registry, struct kwb_upstream *upstream)
+free_if_unreferenced(
+    struct kwb_registry *registry, struct kwb_upstream *upstream)
 {
 	uint32_t i;
 
-	if (upstream->listed || upstream->references > 0)
+	if (upstream->listed || upstream->ref_count > 0)
 		return;
 	for (i = 0; i < registry->count; i++)
 		if (registry->upstreams[i] == upstream)
@@ -115,21 +116,21 @@
 		return;
 	kwb_index_remove(&registry->index, id);
 	upstream->listed = false;
-	upstream->gone_ns = kwb_clock_now_ns();
-	release(registry, upstream);
+	upstream->removal_ns = kwb_clock_now_ns();
+	free_if_unreferenced(registry, upstream);
 }
 
 void
-kwb_upstream_hold(struct kwb_upstream *upstream)
+kwb_upstream_ref(struct kwb_upstream *upstream)
 {
-	upstream->references++;
+	upstream->ref_count++;
 }
 
 void
-kwb_upstream_drop(struct kwb_registry *registry, struct kwb_upstream *upstream)
+kwb_upstream_unref(struct kwb_registry *registry, struct kwb_upstream *upstream)
 {
-	upstream->references--;
-	release(registry, upstream);
+	upstream->ref_count--;
+	free_if_unreferenced(registry, upstream);
 }
 
 uint64_t
@@ -155,14 +156,14 @@
 }
 
 void
-kwb_upstream_expect(
+kwb_upstream_assign(
     struct kwb_upstream *upstream, const char *model, uint64_t version)
 {
-	if (strcmp(upstream->home_model, model) != 0 ||
+	if (strcmp(upstream->assigned_model, model) != 0 ||
 	    upstream->expected_version != version)
-		upstream->loading_ns = kwb_clock_now_ns();
+		upstream->expected_since_ns = kwb_clock_now_ns();
 	kwb_text_copy(
-	    upstream->home_model, sizeof(upstream->home_model), model);
+	    upstream->assigned_model, sizeof(upstream->assigned_model), model);
 	upstream->expected_version = version;
 }
 
@@ -170,14 +171,14 @@
 kwb_upstream_is_loading(
     const struct kwb_upstream *upstream, const char *model, uint64_t now_ns)
 {
-	return strcmp(upstream->home_model, model) == 0 &&
+	return strcmp(upstream->assigned_model, model) == 0 &&
 	    upstream->expected_version >
 	    kwb_upstream_version(upstream, model) &&
-	    now_ns - upstream->loading_ns < KWB_LOAD_MOST_NS;
+	    now_ns - upstream->expected_since_ns < KWB_LOAD_MOST_NS;
 }
 
 void
-kwb_upstream_ok(struct kwb_upstream *upstream)
+kwb_upstream_record_success(struct kwb_upstream *upstream)
 {
 	upstream->failures = 0;
 	upstream->suspect_until_ns = 0;
@@ -185,7 +186,7 @@
 }
 
 void
-kwb_upstream_failed(struct kwb_upstream *upstream, uint64_t now_ns)
+kwb_upstream_record_failure(struct kwb_upstream *upstream, uint64_t now_ns)
 {
 	uint64_t wait_ns = KWB_SUSPECT_NS;
 	uint32_t i;
@@ -200,48 +201,49 @@
 }
 
 void
-kwb_upstream_pace(struct kwb_upstream *upstream, uint64_t taken_ns)
+kwb_upstream_record_pace(struct kwb_upstream *upstream, uint64_t taken_ns)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (taken_ns > KWB_PACE_MAX_NS || taken_ns < KWB_PACE_MIN_NS)
 		return; /* a pause, or what came together after one */
 	if (upstream->pace_ns == 0 ||
-	    now_ns - upstream->pace_at_ns > KWB_PACE_KEEP_NS)
+	    now_ns - upstream->pace_updated_ns > KWB_PACE_TTL_NS)
 		upstream->pace_ns = taken_ns;
 	else
 		upstream->pace_ns = (upstream->pace_ns * 7 + taken_ns) / 8;
-	upstream->pace_at_ns = now_ns;
-	if (upstream->calm_pace_ns == 0 ||
-	    upstream->pace_ns < upstream->calm_pace_ns)
-		upstream->calm_pace_ns = upstream->pace_ns;
+	upstream->pace_updated_ns = now_ns;
+	if (upstream->baseline_pace_ns == 0 ||
+	    upstream->pace_ns < upstream->baseline_pace_ns)
+		upstream->baseline_pace_ns = upstream->pace_ns;
 	else
-		upstream->calm_pace_ns +=
-		    (upstream->pace_ns - upstream->calm_pace_ns) /
-		    KWB_PACE_CALM_PART;
+		upstream->baseline_pace_ns +=
+		    (upstream->pace_ns - upstream->baseline_pace_ns) /
+		    KWB_BASELINE_PACE_DIVISOR;
 }
 
 /* The lower median: neither a slow upstream nor a wrong measure moves it. */
 uint64_t
-kwb_registry_usual_pace(
+kwb_registry_median_pace(
     const struct kwb_registry *registry, const char *service, uint64_t now_ns)
 {
-	uint64_t paces[KWB_PACE_USUAL_MAX];
+	uint64_t paces[KWB_PACE_MEDIAN_MAX];
 	const struct kwb_upstream *upstream;
 	uint32_t count = 0;
 	uint32_t at;
 	uint32_t i;
 
-	for (i = 0; i < registry->count && count < KWB_PACE_USUAL_MAX; i++) {
+	for (i = 0; i < registry->count && count < KWB_PACE_MEDIAN_MAX; i++) {
 		upstream = registry->upstreams[i];
-		if (upstream->calm_pace_ns == 0 ||
-		    now_ns - upstream->pace_at_ns >= KWB_PACE_USUAL_NS ||
+		if (upstream->baseline_pace_ns == 0 ||
+		    now_ns - upstream->pace_updated_ns >=
+			KWB_BASELINE_PACE_TTL_NS ||
 		    strcmp(upstream->status.service, service) != 0)
 			continue;
 		for (at = count++;
-		     at > 0 && paces[at - 1] > upstream->calm_pace_ns; at--)
+		     at > 0 && paces[at - 1] > upstream->baseline_pace_ns; at--)
 			paces[at] = paces[at - 1];
-		paces[at] = upstream->calm_pace_ns;
+		paces[at] = upstream->baseline_pace_ns;
 	}
 	return count > 0 ? paces[(count - 1) / 2] : 0;
 }
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -201,7 +201,7 @@
 static uint32_t
 slack_of(const struct kwb_entry *entry, const struct kwb_plan *plan)
 {
-	if (entry->policy != KWB_POLICY_KWB ||
+	if (entry->policy != KWB_POLICY_DEFAULT ||
 	    plan->objective != KWB_OBJECTIVE_IDLE ||
 	    plan->staleness_versions == 0)
 		return 0;
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -55,7 +55,7 @@
 
 	if (upstream == NULL)
 		return;
-	kwb_upstream_expect(upstream, home->model, home->target);
+	kwb_upstream_assign(upstream, home->model, home->target);
 }
 
 void
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -30,7 +30,7 @@
 static void
 test_route(void)
 {
-	struct kwb_split half[2] = {
+	struct kwb_route_split half[2] = {
 	    {.service = "a", .weight = 1}, {.service = "b", .weight = 3}};
 	struct kwb_route_entry routes[] = {
 	    {.name = "short", .host = "h.example", .prefix = "/a/"},
@@ -56,15 +56,15 @@
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		route = kwb_node_config_route(
+		route = kwb_node_config_find_route(
 		    &config, cases[i].host, cases[i].target);
 		CU_ASSERT_EQUAL(route == NULL, cases[i].name == NULL);
 		if (route != NULL && cases[i].name != NULL)
 			CU_ASSERT_STRING_EQUAL(route->name, cases[i].name);
 	}
 	for (i = 0; i < 400; i++)
-		first +=
-		    strcmp(kwb_route_entry_service(&routes[1], i), "a") == 0;
+		first += strcmp(kwb_route_entry_pick_service(&routes[1], i),
+			     "a") == 0;
 	CU_ASSERT_EQUAL(first, 100);
 }
 
@@ -91,17 +91,17 @@
 	    {"nothing", "s", "", NULL},
 	    {"malformed", "s", ",,::,", NULL},
 	};
-	static struct kwb_parts parts;
+	static struct kwb_prefix_map parts;
 	const char *found;
 	unsigned i;
 
 	memset(&parts, 0, sizeof(parts));
-	kwb_parts_note(&parts, "s", "a1:300,a2:40", "u1");
-	kwb_parts_note(&parts, "s", "b1:300,b2:40", "u2");
-	kwb_parts_note(&parts, "s", "a1:300,a3:40", "u3");
+	kwb_prefix_map_set(&parts, "s", "a1:300,a2:40", "u1");
+	kwb_prefix_map_set(&parts, "s", "b1:300,b2:40", "u2");
+	kwb_prefix_map_set(&parts, "s", "a1:300,a3:40", "u3");
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		found =
-		    kwb_parts_find(&parts, cases[i].service, cases[i].prompt);
+		found = kwb_prefix_map_find(
+		    &parts, cases[i].service, cases[i].prompt);
 		if ((found == NULL) != (cases[i].upstream == NULL) ||
 		    (found != NULL && strcmp(found, cases[i].upstream) != 0))
 			CU_FAIL(cases[i].name);
@@ -232,7 +232,7 @@
 	uint32_t in_flight;
 	uint32_t failures;
 	uint64_t suspect_until_ns;
-	uint64_t refused_until_ns;
+	uint64_t backoff_until_ns;
 	uint64_t pace_ms;
 	uint64_t version;
 	const char *home;
@@ -267,13 +267,13 @@
 		upstream->in_flight = cases[i].in_flight;
 		upstream->failures = cases[i].failures;
 		upstream->suspect_until_ns = cases[i].suspect_until_ns;
-		upstream->refused_until_ns = cases[i].refused_until_ns;
+		upstream->backoff_until_ns = cases[i].backoff_until_ns;
 		upstream->pace_ns = cases[i].pace_ms * KWB_MS_NS;
-		upstream->pace_at_ns = NOW_NS;
+		upstream->pace_updated_ns = NOW_NS;
 		upstream->expected_version = cases[i].expected;
 		if (cases[i].home != NULL)
-			kwb_text_copy(upstream->home_model, KWB_NAME_MAX_BYTES,
-			    cases[i].home);
+			kwb_text_copy(upstream->assigned_model,
+			    KWB_NAME_MAX_BYTES, cases[i].home);
 	}
 }
 
@@ -288,23 +288,26 @@
 
 	fill(&registry, cases, 3);
 	CU_ASSERT(
-	    kwb_registry_usual_pace(&registry, "s", kwb_clock_now_ns()) == 0);
+	    kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns()) == 0);
 	for (i = 0; i < 60; i++)
-		kwb_upstream_pace(registry.upstreams[0], 40 * KWB_MS_NS);
+		kwb_upstream_record_pace(registry.upstreams[0], 40 * KWB_MS_NS);
 	for (i = 0; i < 60; i++)
-		kwb_upstream_pace(registry.upstreams[0], 130 * KWB_MS_NS);
-	usual_ns = kwb_registry_usual_pace(&registry, "s", kwb_clock_now_ns());
+		kwb_upstream_record_pace(
+		    registry.upstreams[0], 130 * KWB_MS_NS);
+	usual_ns = kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
 	CU_ASSERT(usual_ns >= 40 * KWB_MS_NS && usual_ns < 48 * KWB_MS_NS);
 	CU_ASSERT(registry.upstreams[0]->pace_ns > 120 * KWB_MS_NS);
 	for (i = 0; i < 60; i++) {
-		kwb_upstream_pace(registry.upstreams[1], 40 * KWB_MS_NS);
-		kwb_upstream_pace(registry.upstreams[1], KWB_PACE_MIN_NS / 10);
-		kwb_upstream_pace(registry.upstreams[2], 130 * KWB_MS_NS);
+		kwb_upstream_record_pace(registry.upstreams[1], 40 * KWB_MS_NS);
+		kwb_upstream_record_pace(
+		    registry.upstreams[1], KWB_PACE_MIN_NS / 10);
+		kwb_upstream_record_pace(
+		    registry.upstreams[2], 130 * KWB_MS_NS);
 	}
-	usual_ns = kwb_registry_usual_pace(&registry, "s", kwb_clock_now_ns());
+	usual_ns = kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
 	CU_ASSERT(usual_ns >= 40 * KWB_MS_NS && usual_ns < 48 * KWB_MS_NS);
 	CU_ASSERT(
-	    kwb_registry_usual_pace(&registry, "t", kwb_clock_now_ns()) == 0);
+	    kwb_registry_median_pace(&registry, "t", kwb_clock_now_ns()) == 0);
 	kwb_registry_finish(&registry);
 }
 
@@ -313,7 +316,7 @@
 {
 	static const struct {
 		const char *name;
-		struct kwb_pick pick;
+		struct kwb_pick_criteria pick;
 		struct upstream_case upstreams[3];
 		const char *chosen;
 	} cases[] = {
@@ -352,14 +355,15 @@
 		    {.id = "b", .in_flight = 4}},
 		"a"},
 	    {"just refused", {.service = "s"},
-		{{.id = "a", .refused_until_ns = NOW_NS + 1}}, NULL},
-	    {"no slot free", {.service = "s", .within_slots = true},
+		{{.id = "a", .backoff_until_ns = NOW_NS + 1}}, NULL},
+	    {"no slot free", {.service = "s", .needs_free_slot = true},
 		{{.id = "a", .in_flight = 4}}, NULL},
-	    {"the one that read the prompt", {.service = "s", .affinity = "b"},
+	    {"the one that read the prompt",
+		{.service = "s", .affinity_id = "b"},
 		{{.id = "a"}, {.id = "b"}}, "b"},
-	    {"unless it is much fuller", {.service = "s", .affinity = "b"},
+	    {"unless it is much fuller", {.service = "s", .affinity_id = "b"},
 		{{.id = "a"}, {.id = "b", .in_flight = 3}}, "a"},
-	    {"unless it is suspected", {.service = "s", .affinity = "b"},
+	    {"unless it is suspected", {.service = "s", .affinity_id = "b"},
 		{{.id = "a"},
 		    {.id = "b", .failures = 2, .suspect_until_ns = NOW_NS + 1}},
 		"a"},
@@ -374,7 +378,7 @@
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
-		    .within_slots = true},
+		    .needs_free_slot = true},
 		{{.id = "a", .version = 2},
 		    {.id = "b", .version = 1, .home = "m", .in_flight = 4}},
 		"a"},
@@ -382,7 +386,7 @@
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
-		    .within_slots = true},
+		    .needs_free_slot = true},
 		{{.id = "a",
 		     .version = 1,
 		     .home = "m",
@@ -394,7 +398,7 @@
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
-		    .within_slots = true},
+		    .needs_free_slot = true},
 		{{.id = "a",
 		     .version = 1,
 		     .home = "m",
@@ -416,7 +420,7 @@
 	};
 	struct kwb_registry registry;
 	struct kwb_upstream *chosen;
-	struct kwb_pick pick;
+	struct kwb_pick_criteria pick;
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++) {
@@ -439,15 +443,15 @@
 	uint64_t last_ns = 0;
 	unsigned i;
 
-	kwb_upstream_failed(&upstream, NOW_NS);
+	kwb_upstream_record_failure(&upstream, NOW_NS);
 	CU_ASSERT_EQUAL(upstream.suspect_until_ns, 0);
 	for (i = 0; i < 10; i++) {
-		kwb_upstream_failed(&upstream, NOW_NS);
+		kwb_upstream_record_failure(&upstream, NOW_NS);
 		CU_ASSERT(upstream.suspect_until_ns >= last_ns);
 		last_ns = upstream.suspect_until_ns;
 	}
 	CU_ASSERT_EQUAL(last_ns, NOW_NS + KWB_SUSPECT_MAX_NS);
-	kwb_upstream_ok(&upstream);
+	kwb_upstream_record_success(&upstream);
 	CU_ASSERT_EQUAL(upstream.failures, 0);
 }
 
@@ -1407,17 +1411,17 @@
 play_place(struct kwb_registry *registry, struct play_work *work,
     uint32_t now_ms, bool leaves_room)
 {
-	struct kwb_pick pick = {
+	struct kwb_pick_criteria pick = {
 	    .service = "s", .now_ns = NOW_NS, .random = now_ms};
-	struct kwb_pick room = pick;
+	struct kwb_pick_criteria room = pick;
 	struct kwb_reward_input input = {
 	    .waited_ns = (now_ms - work->ready_ms) * KWB_MS_NS,
 	    .left_ns = 7500 * KWB_MS_NS};
 	struct kwb_upstream *upstream;
 	unsigned i;
 
-	room.within_slots = true;
-	room.spare_part = KWB_REWARD_SPARE_PART;
+	room.needs_free_slot = true;
+	room.spare_divisor = KWB_REWARD_SPARE_PART;
 	input.has_place = kwb_upstream_pick(registry, &room) != NULL;
 	if (!work->is_call && leaves_room && !kwb_reward_goes(&input))
 		return;
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -24,7 +24,7 @@
 {
 	static const struct {
 		const char *name;
-		struct kwb_route route;
+		struct kwb_route_query route;
 		struct kwb_candidate candidates[3];
 		int index;
 		int error;
@@ -42,7 +42,7 @@
 		{{.vm = "a",
 		    .usable = true,
 		    .units = 2,
-		    .in_plan = 2,
+		    .plan_in_flight = 2,
 		    .slots = 9}},
 		-1, KWB_ERR_ROUTE_FULL},
 	    {"swapping is left out", {.exclude = -1},
@@ -57,7 +57,7 @@
 		{{.vm = "a", .usable = true, .units = 2, .slots = 9},
 		    {.vm = "b", .usable = true, .units = 2, .slots = 9}},
 		0, 0},
-	    {"least load", {.exclude = -1, .policy = KWB_POLICY_LEAST},
+	    {"least load", {.exclude = -1, .policy = KWB_POLICY_LEAST_LOAD},
 		{{.vm = "a",
 		     .usable = true,
 		     .units = 9,
@@ -102,7 +102,8 @@
 test_route_affinity(void)
 {
 	struct kwb_candidate candidates[8] = {0};
-	struct kwb_route route = {.affinity = "a prompt", .exclude = -1};
+	struct kwb_route_query route = {
+	    .affinity_key = "a prompt", .exclude = -1};
 	static const char *const names[] = {
 	    "a", "b", "c", "d", "e", "f", "g", "h"};
 	int first = -1;
@@ -189,25 +190,25 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_share_homes(cases[i].allowance, cases[i].members),
+		    kwb_share_holders(cases[i].allowance, cases[i].members),
 		    cases[i].homes);
 }
 
 static void
 test_budget(void)
 {
-	struct kwb_budget budget;
+	struct kwb_retry_budget budget;
 	unsigned i, retries = 0;
 
-	kwb_budget_init(&budget);
+	kwb_retry_budget_init(&budget);
 	for (i = 0; i < 1000; i++) {
-		kwb_budget_try(&budget);
-		while (kwb_budget_retry(&budget))
+		kwb_retry_budget_add_try(&budget);
+		while (kwb_retry_budget_take(&budget))
 			retries++;
 	}
 	CU_ASSERT(retries <= 1000 * KWB_RETRY_PERCENT / 100 + KWB_RETRY_BURST);
 	CU_ASSERT(retries >= 1000 * KWB_RETRY_PERCENT / 100);
-	kwb_budget_finish(&budget);
+	kwb_retry_budget_finish(&budget);
 }
 
 static void
