--- a/include/kwb.h
+++ b/include/kwb.h
@@ -488,74 +488,90 @@
 
 /* ---- Limit: shares of an allowance, retry budget ----------------------- */
 
+/*
+ * The agents of a pool divide a plan's allowance among them: every unit that
+ * an agent holds lets one request of the plan run there.
+ */
+
 struct kwb_share_member {
 	char vm[KWB_NAME_MAX_BYTES];
-	uint64_t incarnation;
-	uint32_t units;
+	uint64_t incarnation; /* not used */
+	uint32_t units;	      /* that it holds by the table's row */
 };
 
 uint32_t kwb_share_holders(uint32_t allowance,
-    unsigned members); /* how many members hold units of a plan */
+    unsigned members); /* number of members that should hold units of a plan */
 uint32_t kwb_share_fair(uint32_t allowance, const char *plan,
     const struct kwb_share_member *members, unsigned count,
-    unsigned self); /* units that member self should hold */
+    unsigned self); /* units that members[self] should hold */
 uint32_t kwb_share_next(uint32_t allowance, const char *plan,
     const struct kwb_share_member *members, unsigned count, unsigned self,
-    uint32_t running); /* units that member self may write now */
+    uint32_t running); /* units that members[self] may write to the row now */
 
+/* Bounds a plan's retries to KWB_RETRY_PERCENT and a burst; thread-safe. */
 struct kwb_retry_budget {
 	pthread_mutex_t lock;
-	uint64_t first_tries;
-	uint64_t retries;
+	uint64_t first_tries; /* recent requests */
+	uint64_t retries;     /* of these */
 };
 
-void kwb_retry_budget_init(struct kwb_retry_budget *budget); /* nothing spent */
-void kwb_retry_budget_finish(struct kwb_retry_budget *budget); /* ends it */
+void kwb_retry_budget_init(
+    struct kwb_retry_budget *budget); /* nothing counted yet */
+void kwb_retry_budget_finish(
+    struct kwb_retry_budget *budget); /* destroys its lock */
 void kwb_retry_budget_add_try(
-    struct kwb_retry_budget *budget); /* counts a first try */
+    struct kwb_retry_budget *budget); /* counts a request's first try */
 bool kwb_retry_budget_take(
-    struct kwb_retry_budget *budget); /* false when spent */
+    struct kwb_retry_budget *budget); /* false when it is spent */
 
 /* ---- Route: which upstream takes a request ----------------------------- */
 
+/*
+ * An entry chooses among the agents of a plan's pool, each beside one upstream.
+ * The default policy is the one to run; the others are simple baselines to
+ * compare with, without hedging and without slack for weight swaps.
+ */
+
 enum kwb_policy {
-	KWB_POLICY_DEFAULT,
-	KWB_POLICY_ROUND_ROBIN,
+	KWB_POLICY_DEFAULT,	/* two random choices and prompt affinity */
+	KWB_POLICY_ROUND_ROBIN, /* a random one with capacity */
 	KWB_POLICY_LEAST_LOAD
 };
 
+/* An agent that a request may be sent to. */
 struct kwb_candidate {
 	const char *vm;
-	bool usable; /* connected, up, not leaving, not tripped */
-	bool same_domain;
-	bool swapping;
-	uint64_t version;	 /* weights of the request's model */
-	uint32_t units;		 /* plan's share there */
-	uint32_t plan_in_flight; /* plan's running there, own count or report */
-	uint32_t slots;
-	uint32_t in_flight; /* all plans, larger of own count and report */
+	bool usable;	  /* connected, up, not leaving, not tripped */
+	bool same_domain; /* in the entry's failure domain */
+	bool swapping;	  /* changes its weights, so nothing starts there */
+	uint64_t version; /* weights of the request's model */
+	uint32_t units;	  /* share of the plan's allowance held there */
+	uint32_t plan_in_flight; /* of the plan: own, and others as reported */
+	uint32_t slots;		 /* requests that run at a time */
+	uint32_t in_flight;	 /* of all plans, likewise */
 };
 
+/* What a request needs. */
 struct kwb_route_query {
-	const char *affinity_key; /* prefix key, NULL for none */
-	uint64_t min_version;
-	uint64_t random;
-	int exclude; /* candidate to avoid, -1 for none */
-	bool priority;
+	const char *affinity_key; /* prompt, hashed; NULL for none */
+	uint64_t min_version;	  /* oldest weights allowed */
+	uint64_t random;	  /* 64 random bits */
+	int exclude;		  /* index of a candidate, -1 for none */
+	bool priority;		  /* may exceed slots, but not units */
 	enum kwb_policy policy;
 };
 
 struct kwb_choice {
-	int index; /* -1 when none */
-	int error; /* why none */
-	const char *reason;
+	int index;	    /* of the candidate; -1 for none */
+	int error;	    /* 0, KWB_ERR_ROUTE_NONE or KWB_ERR_ROUTE_FULL */
+	const char *reason; /* why this one, or why none; for the log */
 };
 
-struct kwb_choice kwb_route_pick(const struct kwb_route_query *route,
+struct kwb_choice kwb_route_pick(const struct kwb_route_query *query,
     const struct kwb_candidate *candidates,
-    unsigned count); /* the decision; pure */
-int kwb_policy_parse(
-    enum kwb_policy *policy, const char *name); /* by name; empty is kwb */
+    unsigned count); /* chooses one; depends on nothing but its arguments */
+int kwb_policy_parse(enum kwb_policy *policy,
+    const char *name); /* "" is the default; KWB_ERR_ARGUMENT when unknown */
 
 /* ---- Call: outcomes, keys, journal ------------------------------------- */
 
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -78,29 +78,34 @@
 #define KWB_RELAY_IDLE_S 5	   /* longer than a feed waits */
 
 /* Upstreams of the shared platform */
-#define KWB_CONNECT_COST 0.15	 /* of a new connection, in pieces of work */
-#define KWB_PACE_NOISE_RATIO 1.6 /* plain work varies by so much */
-#define KWB_SUSPECT_FAILURES 2	 /* in a row, before an upstream is avoided */
-#define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* first time it is avoided */
-#define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* longest, as it doubles */
-#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)    /* a measured pace counts */
-#define KWB_BASELINE_PACE_TTL_NS                                               \
-	(60000 * KWB_MS_NS)    /* likewise, while not slow */
-#define KWB_PACE_MEDIAN_MAX 32 /* upstreams looked at for the usual pace */
-#define KWB_BASELINE_PACE_DIVISOR 1024	    /* of a change: slow to follow */
-#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)	    /* shorter: held up on the way */
-#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)   /* longer is a pause */
-#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS) /* a reported load counts */
-#define KWB_REFUSED_BACKOFF_NS                                                 \
-	(60 * KWB_MS_NS) /* left alone after it was full */
-#define KWB_MISDIRECTED_BACKOFF_NS                                             \
-	(1000 * KWB_MS_NS)	    /* address of another one */
-#define KWB_PREFIXES_MAX 1024	    /* parts of prompts known; 72 KB */
-#define KWB_FORWARD_RETRY_MIN_MS 15 /* no new try with less time left */
-#define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS) /* its own deadline is first */
-#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)  /* between looks for a place */
-#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)    /* likewise, for a second try */
-#define KWB_HEDGE_SPARE_DIVISOR 3 /* a third of the slots is left to others */
+/*
+ * A unit of work is a plain request or one event of a generation. Its pace is
+ * the time it takes, and costs are parts of it.
+ */
+#define KWB_CONNECT_COST 0.15	 /* of opening a connection */
+#define KWB_PACE_NOISE_RATIO 1.6 /* plain requests vary by this factor */
+#define KWB_SUSPECT_FAILURES 2	 /* in a row make an upstream suspect */
+#define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* avoided so long at first */
+#define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* at most; it doubles */
+#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)    /* a measured pace is valid */
+#define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS) /* a baseline is valid */
+#define KWB_PACE_MEDIAN_MAX 32 /* upstreams that a median is taken over */
+#define KWB_BASELINE_PACE_DIVISOR 1024 /* a baseline follows a rise slowly */
+/* Events less apart were delayed and came together; more is a pause. */
+#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)
+#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)
+#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS)	/* a reported load is valid */
+#define KWB_REFUSED_BACKOFF_NS (60 * KWB_MS_NS) /* avoided after a refusal */
+/* Avoided while another upstream answers at its address. */
+#define KWB_MISDIRECTED_BACKOFF_NS (1000 * KWB_MS_NS)
+#define KWB_PREFIXES_MAX 1024	    /* prompt prefixes remembered; 72 KB */
+#define KWB_FORWARD_RETRY_MIN_MS 15 /* no retry with less time left */
+/* An exchange's deadline is later, so that the forward's own comes first. */
+#define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS)
+#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS) /* between tries to pick one */
+#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)   /* likewise, for a hedge */
+/* A delayed hedge leaves a third of the slots to other first attempts. */
+#define KWB_HEDGE_SPARE_DIVISOR 3
 
 /* Batches */
 #define KWB_ITEM_TTL_MS 30000		       /* when no route names one */
@@ -169,11 +174,11 @@
 /* Platform */
 #define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS)
 #define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)
-#define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS)
-#define KWB_SHARE_HOLDERS_MIN 32
-#define KWB_SHARE_UNITS_PER_HOLDER 8
-#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)
-#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS)
+#define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS) /* between reads of the row */
+#define KWB_SHARE_HOLDERS_MIN 32     /* members that hold a plan's units */
+#define KWB_SHARE_UNITS_PER_HOLDER 8 /* more members for more units */
+#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)	 /* after a plan's request */
+#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS) /* a member is not listed */
 #define KWB_CAS_TRIES 8
 
 /* Requests */
@@ -185,8 +190,8 @@
 #define KWB_ATTACH_MAX 4
 #define KWB_ORPHAN_NS (10000 * KWB_MS_NS)
 #define KWB_TICKET_MS 300000
-#define KWB_RETRY_PERCENT 10
-#define KWB_RETRY_BURST 20
+#define KWB_RETRY_PERCENT 10 /* retries per 100 first tries */
+#define KWB_RETRY_BURST 20   /* retries on top of that */
 #define KWB_QUEUE_POLL_NS (5 * KWB_MS_NS)
 #define KWB_BUSY_NS (20 * KWB_MS_NS)
 #define KWB_TRIP_NS (1000 * KWB_MS_NS)
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -601,55 +601,62 @@
 
 /* ---- Config: routes and services ----------------------------------------- */
 
+/*
+ * The part of the platform's configuration that a node serves by: a route names
+ * the service that takes requests for a host and path, a service is a group of
+ * upstreams that can stand in for each other.
+ */
+
 enum kwb_route_kind {
-	KWB_ROUTE_IDEMPOTENT,
-	KWB_ROUTE_NON_IDEMPOTENT,
-	KWB_ROUTE_STREAMING,
-	KWB_ROUTE_ROLLOUT
+	KWB_ROUTE_IDEMPOTENT,	  /* may run more than once */
+	KWB_ROUTE_NON_IDEMPOTENT, /* must not run twice */
+	KWB_ROUTE_STREAMING,	  /* answered by a stream of events */
+	KWB_ROUTE_ROLLOUT	  /* submissions and items of batches */
 };
 
+/* One of the services that share a route's requests. */
 struct kwb_route_split {
 	char service[KWB_NAME_MAX_BYTES];
-	uint32_t weight;
+	uint32_t weight; /* its part of the requests, against the others' */
 };
 
 struct kwb_route_entry {
 	char name[KWB_NAME_MAX_BYTES];
-	char host[KWB_KEY_MAX_BYTES];
-	char prefix[KWB_URL_MAX_BYTES];
+	char host[KWB_KEY_MAX_BYTES];	/* without a port */
+	char prefix[KWB_URL_MAX_BYTES]; /* of the request's path */
 	enum kwb_route_kind kind;
-	bool resumable;
-	bool single_version;
-	bool sticky; /* requests begin like others */
-	uint32_t timeout_ms;
-	uint32_t target_latency_ms; /* latency target */
-	uint32_t run_deadline_ms;   /* of a batch */
-	uint32_t item_ttl_ms;	    /* when an item may be given up */
-	uint32_t max_attempts;
-	uint32_t priority;
-	struct kwb_route_split *splits;
+	bool resumable;	     /* a stream may go on at another upstream */
+	bool single_version; /* an item's text comes from one weight version */
+	bool sticky; /* prefer upstreams that read the same prompt prefix */
+	uint32_t timeout_ms;		/* 0 when not set */
+	uint32_t target_latency_ms;	/* 0 when not set */
+	uint32_t run_deadline_ms;	/* of a batch */
+	uint32_t item_ttl_ms;		/* then an item may be given up */
+	uint32_t max_attempts;		/* of one request, the first included */
+	uint32_t priority;		/* not used */
+	struct kwb_route_split *splits; /* at least one */
 	uint32_t splits_count;
 };
 
 struct kwb_service {
 	char name[KWB_NAME_MAX_BYTES];
-	char health_path[KWB_URL_MAX_BYTES];
-	uint32_t max_conns;
-	uint32_t slots; /* 0 when not an engine */
+	char health_path[KWB_URL_MAX_BYTES]; /* not used */
+	uint32_t max_conns;		     /* not used */
+	uint32_t slots; /* of an upstream; 0 when not an engine */
 	char (*models)[KWB_NAME_MAX_BYTES];
 	uint32_t models_count;
 };
 
 struct kwb_node_config {
-	uint64_t version;
+	uint64_t version; /* a newer document has a higher one */
 	struct kwb_route_entry *routes;
 	uint32_t routes_count;
 	struct kwb_service *services;
 	uint32_t services_count;
-	uint32_t max_header_bytes;
-	uint64_t max_body_bytes;
-	uint32_t header_timeout_ms;
-	uint32_t idle_timeout_ms;
+	uint32_t max_header_bytes;  /* of a request's head */
+	uint64_t max_body_bytes;    /* of a request's body */
+	uint32_t header_timeout_ms; /* for a request's head to arrive */
+	uint32_t idle_timeout_ms;   /* of a connection between requests */
 };
 
 void kwb_node_config_finish(struct kwb_node_config *config); /* frees it */
@@ -657,15 +664,26 @@
     const struct kwb_node_config *config, const char *host,
     const char *target); /* longest prefix of that host; NULL for none */
 const struct kwb_service *kwb_node_config_find_service(
-    const struct kwb_node_config *config, const char *name); /* or NULL */
+    const struct kwb_node_config *config,
+    const char *name); /* by name; NULL for none */
 const char *kwb_route_entry_pick_service(const struct kwb_route_entry *route,
-    uint64_t random); /* one of its services, by weight */
+    uint64_t random); /* one of its services by weight; "" for none */
 
 /* ---- Upstreams: registry and choice -------------------------------------- */
 
+/*
+ * The registry holds every upstream on the platform's list, with what it
+ * reports and what this node has measured. kwb_upstream_pick() chooses one for
+ * a request.
+ *
+ * Pace is the time that a unit of work takes: a plain request, or one event of
+ * a generation. An upstream is suspect after some failures in a row: it is
+ * avoided for a while, then probed by one request.
+ */
+
 struct kwb_upstream_model {
 	char name[KWB_NAME_MAX_BYTES];
-	uint64_t version;
+	uint64_t version; /* of the weights */
 };
 
 /* What an upstream says of itself in its heartbeat. */
@@ -674,8 +692,8 @@
 	char service[KWB_NAME_MAX_BYTES];
 	struct kwb_address address;
 	char failure_domain[KWB_NAME_MAX_BYTES];
-	uint32_t slots;
-	bool draining;
+	uint32_t slots;		 /* requests that it runs at a time */
+	bool draining;		 /* takes no new requests */
 	uint64_t incarnation_ms; /* wall-clock start, 0 when not told */
 	uint64_t order_seq;	 /* orders accepted since its start */
 	struct kwb_upstream_model models[KWB_MODELS_MAX];
@@ -684,28 +702,29 @@
 
 struct kwb_upstream {
 	struct kwb_upstream_status status;
-	bool listed;		/* still in the platform's list */
-	uint64_t removal_ns;	/* when it left the list, 0 while listed */
-	uint32_t in_flight;	/* requests of this node there */
-	uint32_t ref_count;	/* keeps the memory while used */
-	uint32_t reported_load; /* running and waiting, by its last answer */
-	uint32_t in_flight_at_report; /* own in_flight when that came */
-	uint64_t reported_ns;
-	uint32_t failures; /* in a row */
-	uint64_t suspect_until_ns;
-	bool probing;	  /* one request tries a suspect upstream */
-	uint64_t pace_ns; /* smoothed time a piece of work takes; 0 unknown */
+	bool listed;		      /* still on the platform's list */
+	uint64_t removal_ns;	      /* when it is or was removed; 0 for not */
+	uint32_t in_flight;	      /* requests of this node there */
+	uint32_t ref_count;	      /* requests that refer to this memory */
+	uint32_t reported_load;	      /* running and waiting there, in all */
+	uint32_t in_flight_at_report; /* in_flight when that was reported */
+	uint64_t reported_ns;	      /* when it was reported; 0 for never */
+	uint32_t failures;	      /* in a row */
+	uint64_t suspect_until_ns;    /* avoided until then, after failures */
+	bool probing;		   /* a request tries it while it is suspect */
+	uint64_t pace_ns;	   /* smoothed; 0 when not measured */
 	uint64_t pace_updated_ns;  /* when it was last measured */
-	uint64_t baseline_pace_ns; /* likewise, while it was not slow */
-	uint64_t backoff_until_ns; /* answered that it is full or swapping */
-	char assigned_model[KWB_NAME_MAX_BYTES]; /* model it is kept current for
-						  */
-	uint64_t expected_version; /* of that model, ordered but not yet seen */
-	uint64_t expected_since_ns; /* when that was first heard of */
+	uint64_t baseline_pace_ns; /* pace without slow phases; 0 likewise */
+	uint64_t backoff_until_ns; /* avoided until then, after a refusal */
+	/* Model whose weights are kept current here, "" for none. */
+	char assigned_model[KWB_NAME_MAX_BYTES];
+	uint64_t expected_version;  /* of that model, by the last order */
+	uint64_t expected_since_ns; /* when that order was first seen */
 };
 
 struct kwb_registry {
-	struct kwb_index index; /* of those that are listed */
+	struct kwb_index index; /* listed upstreams by id */
+	/* All in memory: listed ones, and those still referred to. */
 	struct kwb_upstream **upstreams;
 	uint32_t count;
 	uint32_t capacity;
@@ -714,67 +733,72 @@
 void kwb_registry_init(struct kwb_registry *registry);	 /* empty */
 void kwb_registry_finish(struct kwb_registry *registry); /* frees all */
 struct kwb_upstream *kwb_registry_put(struct kwb_registry *registry,
-    const struct kwb_upstream_status *status); /* adds or renews */
-void kwb_registry_remove(
-    struct kwb_registry *registry, const char *id); /* left the list */
-struct kwb_upstream *kwb_registry_find(
-    const struct kwb_registry *registry, const char *id); /* or NULL */
-void kwb_upstream_ref(struct kwb_upstream *upstream);	  /* a reference */
+    const struct kwb_upstream_status *status); /* adds or updates; or NULL */
+void kwb_registry_remove(struct kwb_registry *registry,
+    const char *id); /* takes it off the list; freed when not referred to */
+struct kwb_upstream *kwb_registry_find(const struct kwb_registry *registry,
+    const char *id); /* a listed one, NULL for none */
+void kwb_upstream_ref(struct kwb_upstream *upstream); /* adds a reference */
 void kwb_upstream_unref(struct kwb_registry *registry,
     struct kwb_upstream *upstream); /* ends a reference */
 uint64_t kwb_upstream_version(const struct kwb_upstream *upstream,
     const char *model); /* of its weights, 0 when it lacks the model */
 void kwb_upstream_set_version(struct kwb_upstream *upstream, const char *model,
-    uint64_t version); /* as an answer named it */
+    uint64_t version); /* which an answer named */
 void kwb_upstream_assign(struct kwb_upstream *upstream, const char *model,
-    uint64_t version); /* its home, and the version ordered there */
+    uint64_t version); /* model to keep current there, and version ordered */
 bool kwb_upstream_is_loading(const struct kwb_upstream *upstream,
-    const char *model, uint64_t now_ns); /* that model's weights change */
+    const char *model, uint64_t now_ns); /* changes that model's weights */
 void kwb_upstream_record_success(
-    struct kwb_upstream *upstream); /* an answer came: trusted again */
-void kwb_upstream_record_failure(struct kwb_upstream *upstream,
-    uint64_t now_ns); /* a failure; after some it is suspected */
+    struct kwb_upstream *upstream); /* an answer came: no longer suspect */
+void kwb_upstream_record_failure(
+    struct kwb_upstream *upstream, uint64_t now_ns); /* may make it suspect */
 void kwb_upstream_record_pace(struct kwb_upstream *upstream,
-    uint64_t taken_ns); /* measured time of a piece of work */
+    uint64_t taken_ns); /* time that a unit of work took */
 uint64_t kwb_registry_median_pace(const struct kwb_registry *registry,
     const char *service,
-    uint64_t now_ns); /* of an upstream that is not slow, 0 unknown */
+    uint64_t now_ns); /* median of baselines, in ns; 0 when none is known */
 
-/* What a choice of upstream looks at; see kwb_upstream_pick(). */
+/* What kwb_upstream_pick() chooses by. */
 struct kwb_pick_criteria {
 	const char *service;
 	const char *failure_domain; /* preferred, NULL for none */
-	const char *model;	    /* NULL for plain services */
+	const char *model;	    /* NULL for plain requests */
 	uint64_t min_version;	    /* oldest weights allowed */
 	const struct kwb_upstream *const *exclude;
 	uint32_t exclude_count;
-	const char *affinity_id; /* id of an upstream that read the prompt */
-	bool needs_free_slot;	 /* only where a slot is free */
-	uint32_t
-	    spare_divisor; /* likewise: one slot in so many stays free; 0 */
-	const struct kwb_client *client; /* prefers kept connections, or NULL */
+	const char *affinity_id; /* upstream that read the prompt, or NULL */
+	bool needs_free_slot;	 /* only upstreams with a free slot */
+	uint32_t spare_divisor;	 /* slots / this must stay free; 0 for none */
+	const struct kwb_client *client; /* prefers open connections, or NULL */
 	uint64_t now_ns;
-	uint64_t random;
+	uint64_t random; /* 64 random bits */
 };
 
 struct kwb_upstream *kwb_upstream_pick(const struct kwb_registry *registry,
-    const struct kwb_pick_criteria *pick); /* the decision; NULL for none */
+    const struct kwb_pick_criteria *criteria); /* cheapest; NULL for none */
 
+/* The upstream that last read a prompt prefix. */
 struct kwb_prefix_entry {
-	uint64_t hash; /* of a part, the parts before it and the service */
+	uint64_t hash; /* of the service and the prefix; 0 when unused */
 	char upstream_id[KWB_NAME_MAX_BYTES];
 };
 
-/* Upstreams that have read parts of prompts. Prompts are "PART:TOKENS,...". */
+/*
+ * Upstreams by the prompt prefixes that they have read, so that a request goes
+ * where its prompt is cached. A prompt is "PART:TOKENS,...", and a prefix is
+ * its first part or parts. A hash table in which a newer entry replaces an
+ * older.
+ */
 struct kwb_prefix_map {
 	struct kwb_prefix_entry entries[KWB_PREFIXES_MAX];
 };
 
-void kwb_prefix_map_set(struct kwb_prefix_map *parts, const char *service,
-    const char *prompt, const char *upstream_id); /* it has read all of it */
-const char *kwb_prefix_map_find(struct kwb_prefix_map *parts,
-    const char *service,
-    const char *prompt); /* the upstream that read most of it, or NULL */
+void kwb_prefix_map_set(struct kwb_prefix_map *map, const char *service,
+    const char *prompt,
+    const char *upstream_id); /* it has read every prefix of the prompt */
+const char *kwb_prefix_map_find(struct kwb_prefix_map *map, const char *service,
+    const char *prompt); /* id for its longest known prefix, NULL for none */
 
 /* ---- Dialect: what is spoken with clients and upstreams --------------------
  */
@@ -902,24 +926,32 @@
 /* ---- Forward: one request to upstreams -------------------------------------
  */
 
+/*
+ * Sends a request to an upstream of its service. It is retried at others as far
+ * as it may be, and may be hedged: a second attempt runs beside a late first
+ * one, and the first answer counts.
+ */
+
 enum kwb_forward_outcome {
-	KWB_FORWARD_ANSWERED, /* an upstream's whole answer */
-	KWB_FORWARD_NOT_RUN,  /* surely not run, and never will be */
+	KWB_FORWARD_ANSWERED, /* an upstream's answer, whole */
+	KWB_FORWARD_NOT_RUN,  /* has not run, and will not */
 	KWB_FORWARD_UNKNOWN,  /* may have run; no answer came */
-	KWB_FORWARD_TIMEOUT   /* may have run; time is up */
+	KWB_FORWARD_TIMEOUT   /* may have run; its deadline passed */
 };
 
 struct kwb_forward;
 
+/* What all forwards of a node share. */
 struct kwb_forward_env {
 	struct event_base *base;
 	struct kwb_client *client;
 	struct kwb_registry *registry;
 	const struct kwb_dialect *dialect;
-	const char *failure_domain;
+	const char *failure_domain; /* of this node */
 	struct kwb_prefix_map *prefixes;
 };
 
+/* The request at one upstream. */
 struct kwb_forward_attempt {
 	struct kwb_exchange exchange;
 	struct kwb_forward *forward;
@@ -929,47 +961,50 @@
 
 #define KWB_FORWARD_ATTEMPTS_MAX 8
 
-/* Lives in memory of the caller. */
+/* A request on its way; memory of the caller, zeroed before use. */
 struct kwb_forward {
+	/* Set by the caller before the start. */
 	void (*on_done)(struct kwb_forward *forward);
-	/* Gets each piece of a streamed answer; NULL to take answers whole. */
+	/* A streamed answer's head and pieces; NULL to take answers whole. */
 	void (*on_head)(struct kwb_forward *forward);
 	void (*on_data)(struct kwb_forward *forward, struct kwb_buf *data);
-	void *context;
+	void *context; /* of the caller */
 	const struct kwb_forward_env *env;
 	struct kwb_upstream_request request;
 	char service[KWB_NAME_MAX_BYTES];
-	const char *prompt;  /* its parts; NULL where none are shared */
+	const char *prompt;  /* its parts, where the route is sticky, or NULL */
 	bool idempotent;     /* may run more than once */
-	bool returns_errors; /* an upstream's 5xx ends it */
-	bool resumes;	     /* a stream that breaks off goes on elsewhere */
+	bool returns_errors; /* a 5xx answer is returned, not retried */
+	bool resumes;	     /* a broken stream goes on at another upstream */
 	uint32_t max_attempts;
 	uint64_t deadline_ns;
-	uint64_t hedge_ns; /* when a second upstream is tried; 0 for never */
-	bool is_hedge_delayed; /* it found no room when it was due */
-	/* state */
+	uint64_t hedge_ns; /* when to try a second upstream; 0 for never */
+	/* State. */
+	bool is_hedge_delayed; /* no upstream was free when it was due */
 	struct event *timer;
-	struct kwb_forward_attempt attempts[2];
+	struct kwb_forward_attempt attempts[2]; /* first and hedge */
 	const struct kwb_upstream *tried[KWB_FORWARD_ATTEMPTS_MAX];
 	uint32_t tried_count;
-	uint32_t sent_count; /* upstreams it may have run on */
-	uint64_t retry_ns;   /* when to look for an upstream again */
+	uint32_t sent_count; /* attempts that may have run */
+	uint64_t retry_ns;   /* when to pick an upstream again; 0 for never */
 	bool done;
-	bool streaming;
-	bool head_sent; /* the head went to the caller */
-	struct kwb_buf
-	    partial_event;   /* bytes of an event that is not whole yet */
-	uint64_t last_event; /* passed on to the caller */
-	/* outcome */
+	bool streaming; /* not used */
+	bool head_sent; /* the caller has the head of a streamed answer */
+	struct kwb_buf partial_event; /* bytes of an event that is not whole */
+	uint64_t last_event; /* id of the last event passed to the caller */
+	/* Outcome. */
 	enum kwb_forward_outcome outcome;
-	const char *reason;
-	struct kwb_message answer;
-	char upstream_id[KWB_NAME_MAX_BYTES];
+	const char *reason;	   /* for the log, and for the caller */
+	struct kwb_message answer; /* or its head, when streamed */
+	char upstream_id[KWB_NAME_MAX_BYTES]; /* of the one that answered */
 };
 
-void kwb_forward_start(struct kwb_forward *forward);  /* on_done follows */
-void kwb_forward_cancel(struct kwb_forward *forward); /* no callback */
-void kwb_forward_finish(struct kwb_forward *forward); /* frees its parts */
+void kwb_forward_start(
+    struct kwb_forward *forward); /* on_done may be called before it returns */
+void kwb_forward_cancel(
+    struct kwb_forward *forward); /* ends it without on_done */
+void kwb_forward_finish(
+    struct kwb_forward *forward); /* cancels it and frees what it holds */
 
 /* ---- Batch: submissions of trainers
  * ------------------------------------------ */
