--- a/src/limit/budget.c
+++ b/src/limit/budget.c
@@ -1,9 +1,10 @@
 /*
- * Retry budget of a plan: retries stay a small part of first first_tries, so
- * that retries cannot feed an overload.
+ * Retry budget of a plan: retries are limited to a small part of first tries,
+ * so that they cannot amplify an overload.
  */
 #include "kwb.h"
 
+/* Then both counts are halved, so that older tries count less. */
 #define BUDGET_WINDOW_TRIES 10000
 
 void
--- a/src/limit/share.c
+++ b/src/limit/share.c
@@ -1,7 +1,7 @@
 /*
- * Shares of a plan's allowance, held by the agents of its pool. The row of a
- * pool lists each member's units; every step here keeps their sum at or below
- * the allowance: a member gives back before it is taken up elsewhere.
+ * Shares of a plan's allowance. The agents of its pool are the members; the
+ * pool's row in the table lists the units of each. No step raises their sum
+ * above the allowance: a member takes only units that another has given back.
  */
 #include "kwb.h"
 
@@ -9,9 +9,9 @@
     const struct kwb_share_member *members, unsigned count, unsigned self);
 
 /*
- * Few members hold much each, so that one entry reaches a plan's whole
- * allowance over few links, and few servers load its weights; never fewer
- * than spread the load well.
+ * Few members hold many units each, so that an entry reaches the whole
+ * allowance over few links and few servers load the plan's weights. The minimum
+ * keeps the load spread.
  */
 uint32_t
 kwb_share_holders(uint32_t allowance, unsigned members)
@@ -25,8 +25,8 @@
 }
 
 /*
- * An equal part for the holders, the first members by rendezvous rank; the
- * remainder goes to the first of these.
+ * The holders are the members that rank highest by rendezvous hashing. They get
+ * equal parts, and the first of these one more unit each of the remainder.
  */
 uint32_t
 kwb_share_fair(uint32_t allowance, const char *plan,
@@ -41,8 +41,8 @@
 }
 
 /*
- * What member self may write next: down to its fair part as far as running
- * requests allow, or up to it as far as units are free.
+ * Moves towards the fair part: down as far as running requests allow, up as far
+ * as units are free.
  */
 uint32_t
 kwb_share_next(uint32_t allowance, const char *plan,
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -1,8 +1,8 @@
 /*
- * Keeps this agent's part of each plan's allowance in the pool's table row.
- * The sum over the row never exceeds an allowance: the cap in force here is
- * lowered before the row says less, and raised only after the row says more.
- * In an outage of the table every agent keeps what it holds.
+ * Keeps this agent's part of each plan's allowance in the pool's row of the
+ * table. The parts in force never add up to more than the allowance: this
+ * agent's cap is lowered before the row has fewer units for it, and raised only
+ * after the row has more. While the table is down, each agent keeps its units.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,30 +14,31 @@
 
 #define MEMBERS_MAX KWB_VMS_MAX
 #define MISSING_MAX 64
-#define WATCHERS 3
-#define WATCH_ROTATION_MS 60000
-#define UNSETTLED_POLL_NS (500 * KWB_MS_NS)
+#define WATCHERS 3		/* members that look for lost ones at a time */
+#define WATCH_ROTATION_MS 60000 /* then others do */
+#define UNSETTLED_POLL_NS (500 * KWB_MS_NS) /* while units are moving */
 #define SLEEP_NS (100 * KWB_MS_NS)
-#define POLL_PER_MEMBER_NS (5 * KWB_MS_NS)
+#define POLL_PER_MEMBER_NS (5 * KWB_MS_NS) /* large pools poll less often */
 #define OLD_WORK_MAX_NS (KWB_CALL_TIMEOUT_MS * KWB_MS_NS)
 
+/* A member that the platform does not list. */
 struct missing {
 	char vm[KWB_NAME_MAX_BYTES];
-	uint64_t reclaim_ns;
+	uint64_t reclaim_ns; /* when its units may be taken back */
 };
 
 struct keeper {
 	struct kwb_agent *agent;
 	char row_key[KWB_KEY_MAX_BYTES];
 	uint64_t row_revision;
-	json_t *row; /* as last read, with own changes; NULL before */
-	uint64_t take_after_ns; /* not before: others may be joining too */
-	bool row_dirty;		/* it has own changes */
-	uint64_t writes;
-	struct kwb_vms *vms; /* the platform's list; NULL until looked at */
+	json_t *row;		/* as last read, with own changes; or NULL */
+	uint64_t take_after_ns; /* others that join with it register first */
+	bool row_dirty;		/* it has changes that may not be written */
+	uint64_t writes;	/* tried; makes each row unique */
+	struct kwb_vms *vms;	/* the platform's list; NULL before */
 	unsigned missing_count;
 	struct missing missing[MISSING_MAX];
-	struct kwb_share_member members[MEMBERS_MAX];
+	struct kwb_share_member members[MEMBERS_MAX]; /* of one plan */
 };
 
 static void keeper_poll(struct keeper *keeper, bool *settled);
@@ -98,7 +99,7 @@
 	return NULL;
 }
 
-/* Gives everything back, at the end of a planned stop. */
+/* Gives all units back, at the end of a planned stop. */
 void
 share_leave(struct kwb_agent *agent)
 {
@@ -140,7 +141,7 @@
 			    kwb_clock_now_ns() + UNSETTLED_POLL_NS;
 		changed = joined;
 		units = own_units(keeper);
-		/* First, so that what they held is free for the plans below. */
+		/* First, so that their units are free for the plans below. */
 		if (!is_watcher(keeper))
 			keeper->missing_count = 0;
 		else if (members_reclaim(keeper, reachable) > 0)
@@ -148,7 +149,7 @@
 		if (plans_update(keeper, reachable, settled))
 			changed = true;
 		if (!reachable) {
-			/* What a lost member held is free soon. */
+			/* The units of a lost member will be free soon. */
 			if (keeper->missing_count > 0)
 				*settled = false;
 			return;
@@ -164,15 +165,14 @@
 			return;
 		}
 		json_decref(units);
-		/* What was not written is not held. */
+		/* Units that were not written are not held. */
 		if (row_read(keeper) == 0)
 			units_apply(keeper, own_units(keeper));
 		kwb_clock_sleep_ns((kwb_clock_now_ns() % 20 + 1) * KWB_MS_NS);
 	}
 }
 
-/* Lowers and raises this agent's part of each plan; true when the row changed.
- */
+/* Updates this agent's units of each plan; true when the row changed. */
 static bool
 plans_update(struct keeper *keeper, bool reachable, bool *settled)
 {
@@ -188,10 +188,10 @@
 		if (strcmp(plan->pool, keeper->agent->settings->pool) != 0)
 			continue;
 		plan_lower_cap(keeper, plan->name, allowance->concurrent);
-		/* Units that can't be written now may go to others. */
+		/* Units that cannot be written now may be taken by others. */
 		if (!reachable)
 			continue;
-		/* First known to all, so that parts are fair. */
+		/* Members that join together count each other first. */
 		if (kwb_clock_now_ns() < keeper->take_after_ns)
 			*settled = false;
 		else if (plan_update(keeper, plan->name, allowance->concurrent,
@@ -258,7 +258,7 @@
 	return json_object_get(keeper->row, "members");
 }
 
-/* This agent's units by plan, registered with none on first sight. */
+/* This agent's units by plan; adds it to the row with none when new. */
 static json_t *
 own_units(struct keeper *keeper)
 {
@@ -296,8 +296,8 @@
 }
 
 /*
- * Brings the cap in force down to the fair part and to what the row grants,
- * before anything else is decided.
+ * Lowers the cap in force to the fair part and to the row's units, before the
+ * row is changed.
  */
 static void
 plan_lower_cap(struct keeper *keeper, const char *plan, uint32_t allowance)
@@ -311,7 +311,7 @@
 	run_set_units(keeper->agent, plan, held < fair ? held : fair);
 }
 
-/* Writes into the row what to hold next; true when that is a change. */
+/* Puts the units to hold next into the row; true when they changed. */
 static bool
 plan_update(
     struct keeper *keeper, const char *plan, uint32_t allowance, bool *settled)
@@ -342,7 +342,7 @@
 	return true;
 }
 
-/* Puts what the row grants into force. */
+/* Sets the caps in force by the units of the written row. */
 static void
 units_apply(struct keeper *keeper, json_t *units)
 {
@@ -365,10 +365,11 @@
 }
 
 /*
- * Counts the members that the platform has long listed as reclaimable, and
- * removes them where the row was read. They stopped work before: entries tell a
- * live agent that it is listed so, and it leaves. The list of VMs is not in the
- * table, so that a member's time runs while the table is out.
+ * Counts the members that the platform has not listed for
+ * KWB_SHARE_RECLAIM_NS, and removes them from the row if told so. They have
+ * stopped working by then: entries tell a live agent that it is not listed, and
+ * it leaves. The list of VMs is not in the table, so the time also runs while
+ * the table is down.
  */
 static unsigned
 members_reclaim(struct keeper *keeper, bool remove)
@@ -384,7 +385,7 @@
 
 	if (vms == NULL)
 		vms = keeper->vms = calloc(1, sizeof(*vms));
-	/* An empty list says nothing about anybody. */
+	/* An empty list is no evidence that all are gone. */
 	if (vms == NULL || kwb_vms_get(platform, vms) < 0 || vms->count == 0)
 		return 0;
 	json_object_foreach_safe (row_members(keeper), next, vm, units) {
@@ -407,7 +408,7 @@
 
 /*
  * Whether this agent is one of the few that look for lost members now. The
- * turn goes round, so that the loss of those whose turn it is ends with it.
+ * task rotates, so that others take it up when all watchers are lost.
  */
 static bool
 is_watcher(const struct keeper *keeper)
@@ -423,7 +424,7 @@
 	return before < WATCHERS;
 }
 
-/* A VM that is listed again starts anew when it goes missing later. */
+/* Its time starts again when it goes missing later. */
 static void
 missing_remove(struct keeper *keeper, const char *vm)
 {
@@ -454,8 +455,8 @@
 }
 
 /*
- * Work of an earlier process on this VM still counts against the allowance:
- * hold back until the upstream reports that nothing runs.
+ * Whether the upstream runs nothing from an earlier process on this VM, which
+ * would still count against the allowance.
  */
 static bool
 has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
