--- a/src/route/node_config.c
+++ b/src/route/node_config.c
@@ -1,6 +1,5 @@
 /*
- * Routes and services of a node's config: which route takes a request, and
- * which of its services.
+ * Lookup of routes and services in a node's configuration.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -22,7 +21,7 @@
 	memset(config, 0, sizeof(*config));
 }
 
-/* Compares host names; a port behind the host_header one does not matter. */
+/* Compares host names; a port in the Host header is ignored. */
 static bool
 is_same_host(const char *name, const char *host_header)
 {
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -1,14 +1,15 @@
 /*
- * Routing decision: which upstream takes a request. A pure function of its
- * inputs. Loads are late hints, so two random candidates are compared instead
- * of the one that looks least loaded, together with the two that rendezvous
- * hashing names for the prompt.
+ * Routing: which upstream takes a request, as a pure function of the inputs.
+ * Reported loads lag, so the candidate that looks least loaded is not simply
+ * taken: two random ones are compared (the power of two choices), and the two
+ * that rank highest for the prompt by rendezvous hashing.
  */
 #include <string.h>
 
 #include "kwb.h"
 
-#define AFFINITY_BONUS 0.30
+/* Costs are in parts of a candidate's slots. */
+#define AFFINITY_BONUS 0.30 /* of the highest rank for the prompt */
 #define DOMAIN_PENALTY 0.05
 #define COST_MAX 1e9
 
@@ -159,7 +160,7 @@
 	return -1;
 }
 
-/* Highest rendezvous score with room, leaving out one candidate. */
+/* The candidate with capacity that ranks highest for the prompt, but skip. */
 static int
 best_by_affinity(const struct kwb_route_query *query,
     const struct kwb_candidate *candidates, unsigned count, int skip)
