--- a/src/upstream/pick.c
+++ b/src/upstream/pick.c
@@ -1,23 +1,21 @@
 /*
- * The choice of an upstream. Answers a load of requests that are short beside
- * the time it takes to learn of a failed or slow upstream: every request is a
- * probe, so the choice follows what this node's own requests met, and only
- * then what upstreams report.
+ * Choice of an upstream for a request. Requests are short compared with the
+ * time it takes the platform to report a failed or slow upstream, so the choice
+ * relies first on the failures and times of this node's own requests, and then
+ * on what upstreams report.
  */
 #include <string.h>
 
 #include "kwb_node.h"
 
-/* Cost of the network between failure domains, in parts of a piece of work. */
-#define REMOTE_DOMAIN_COST 0.08
-/* Cost of reading a prompt that another upstream has read, likewise. */
-#define PREFIX_MISS_COST 0.10
-/* Likewise where a route says that prompts are shared: two connections. */
+/* Costs are in parts of a unit of work. */
+#define REMOTE_DOMAIN_COST 0.08 /* network between failure domains */
+#define PREFIX_MISS_COST 0.10	/* a generation's prompt is not cached */
+/* The prompt of a sticky route is not cached: as much as two connections. */
 #define SHARED_PREFIX_MISS_COST (2 * KWB_CONNECT_COST)
-/* Cost of a full upstream against an empty one, likewise. */
-#define LOAD_COST 0.6
+#define LOAD_COST 0.6 /* a full upstream, against an empty one */
 
-/* Requests there: own ones, and others by the last report while it is new. */
+/* Requests there: of this node, and of others by a recent report. */
 static uint32_t
 load_of(const struct kwb_upstream *upstream, uint64_t now_ns)
 {
@@ -43,7 +41,7 @@
 	return false;
 }
 
-/* Ordered weights count: a request that asks for them is refused until then. */
+/* Counts ordered weights: a request for them is refused until they load. */
 static uint64_t
 expected_version_of(const struct kwb_upstream *upstream, const char *model)
 {
@@ -56,8 +54,8 @@
 }
 
 /*
- * While weights change nothing starts; towards the end, and where only ordered
- * weights fit, one request at a time finds out whether they are there.
+ * Nothing starts while weights change. Once a load may be done, one request at
+ * a time finds out whether the ordered weights are there.
  */
 static bool
 can_start(const struct kwb_pick_criteria *criteria,
@@ -100,10 +98,10 @@
 	    upstream->status.slots;
 }
 
-/* How much an upstream's failures count. */
+/* Which upstreams may be picked, by their failures. */
 enum health {
-	HEALTH_SOUND, /* none in a row */
-	HEALTH_PROBE, /* or suspected, its wait is over, and nothing tries it */
+	HEALTH_SOUND, /* not suspect */
+	HEALTH_PROBE, /* or suspect, but due to be probed */
 	HEALTH_ANY
 };
 
@@ -125,9 +123,8 @@
 }
 
 /*
- * The pace of an upstream that has not been measured: for generations the
- * reference_ns one, for plain work, which varies more, that of its fastest
- * peer.
+ * The pace that others are compared with, in ns: for generations the median of
+ * the service, for plain requests, which vary more, its fastest pace.
  */
 static double
 reference_pace(const struct kwb_registry *registry,
@@ -181,7 +178,10 @@
 	return cost * pace;
 }
 
-/* Cheapest upstream of one sort: assigned_only of the model, or any. */
+/*
+ * The cheapest usable upstream; assigned_only leaves out those that are not
+ * kept current for the model.
+ */
 static struct kwb_upstream *
 pick_cheapest(const struct kwb_registry *registry,
     const struct kwb_pick_criteria *criteria, double reference_ns,
@@ -220,7 +220,11 @@
 	double reference_ns = reference_pace(registry, criteria);
 	struct kwb_upstream *found = NULL;
 
-	/* A generation that finds a home dead has lost a second. */
+	/*
+	 * Upstreams that the model is assigned to come first. Suspect ones are
+	 * not probed by generations while a sound one is free, since a dead
+	 * upstream costs a generation a second.
+	 */
 	if (criteria->model != NULL)
 		found = pick_cheapest(
 		    registry, criteria, reference_ns, true, HEALTH_SOUND);
--- a/src/upstream/prefix_map.c
+++ b/src/upstream/prefix_map.c
@@ -1,17 +1,17 @@
 /*
- * Which upstream has read the map of a prompt. An upstream keeps what it has
- * read for a while, so a request that begins like an earlier one is answered
- * sooner there. Answers a load of conversations and shared instructions; only
- * what this node saw is known, and a wrong guess costs one reading.
+ * Upstreams by the prompt prefixes that they have read. An upstream caches what
+ * it has read for a while, so a request whose prompt begins like an earlier one
+ * is answered sooner there: a later turn of a conversation, or one with the
+ * same instructions. Only requests of this node are known; a wrong guess costs
+ * one reading of the prompt.
  */
 #include <string.h>
 
 #include "kwb_node.h"
 
-/* Room for one part's name, as text. */
 #define PART_NAME_MAX_BYTES 64
 
-/* A part counts together with all map before it. */
+/* Adds the next part to the hash of the prefix; returns what follows it. */
 static const char *
 part_next(const char *cursor, uint64_t *hash)
 {
--- a/src/upstream/registry.c
+++ b/src/upstream/registry.c
@@ -1,7 +1,7 @@
 /*
- * Registry of upstreams: what they say of themselves, and what this node has
- * seen of them. An upstream that has left the list stays in memory while a
- * request refers to it.
+ * Registry of upstreams: what they report, and what this node has measured. An
+ * upstream that is no longer listed stays in memory while a request refers to
+ * it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -53,7 +53,7 @@
 	return upstream;
 }
 
-/* A start under the same id knows nothing of what was before. */
+/* After a restart under the same id, earlier measurements do not apply. */
 static void
 reset_history(struct kwb_upstream *upstream)
 {
@@ -206,7 +206,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (taken_ns > KWB_PACE_MAX_NS || taken_ns < KWB_PACE_MIN_NS)
-		return; /* a pause, or what came together after one */
+		return; /* a pause, or events that came together after it */
 	if (upstream->pace_ns == 0 ||
 	    now_ns - upstream->pace_updated_ns > KWB_PACE_TTL_NS)
 		upstream->pace_ns = taken_ns;
@@ -222,7 +222,7 @@
 		    KWB_BASELINE_PACE_DIVISOR;
 }
 
-/* The lower median: neither a slow upstream nor a wrong measure moves it. */
+/* The lower median is not moved by one slow upstream or one wrong value. */
 uint64_t
 kwb_registry_median_pace(
     const struct kwb_registry *registry, const char *service, uint64_t now_ns)
