--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -1,8 +1,7 @@
 /*
- * Forwarding of one request: which answers end it, what may be tried
- * include_tried and where, and what the caller may be told. A request that is
- * not idempotent is sent include_tried only after an upstream said that it has
- * not run it.
+ * Forwarding of one request: which answers end it, when and where it is
+ * retried, and which outcome the caller is told. A request that is not
+ * idempotent is sent again only after an upstream said that it has not run it.
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -88,7 +87,7 @@
 	    kwb_clock_left_ms(forward->deadline_ns) > KWB_FORWARD_RETRY_MIN_MS;
 }
 
-/* Looks for a second upstream include_tried; the first one is still at it. */
+/* Tries later to pick a second upstream; the first one is still working. */
 static void
 hedge_postpone(struct kwb_forward *forward)
 {
@@ -97,7 +96,7 @@
 	forward_arm_timer(forward);
 }
 
-/* Ends an attempt that brought no answer to give to the caller. */
+/* Ends an attempt without an answer for the caller, and retries if possible. */
 static void
 attempt_failed(
     struct kwb_forward_attempt *attempt, bool not_run, const char *reason)
@@ -130,7 +129,7 @@
 	    strcmp(answer->id, forward->request.id) == 0;
 }
 
-/* An upstream said that it has not run the request. */
+/* The upstream says that it has not run the request. */
 static void
 attempt_refused(struct kwb_forward_attempt *attempt,
     const struct kwb_upstream_answer *answer)
@@ -209,8 +208,7 @@
 		    forward, KWB_FORWARD_UNKNOWN, kwb_error_name(error));
 		return;
 	}
-	forward->partial_event.used_bytes =
-	    0; /* the event comes events include_tried */
+	forward->partial_event.used_bytes = 0; /* sent again, whole */
 	attempt_failed(
 	    attempt, error == KWB_ERR_NET_CONNECT, kwb_error_name(error));
 }
@@ -232,7 +230,7 @@
 	kwb_upstream_record_success(attempt->upstream);
 	exchange->streaming = true;
 	if (forward->head_sent)
-		return; /* goes on under the head of its first upstream */
+		return; /* goes on under the head of the first upstream */
 	forward->head_sent = true;
 	kwb_message_copy(&forward->answer, message);
 	kwb_text_copy(forward->upstream_id, sizeof(forward->upstream_id),
@@ -240,7 +238,7 @@
 	forward->on_head(forward);
 }
 
-/* A stream that may be resumed is passed on in events events only. */
+/* A resumable stream is passed on in whole events only. */
 static void
 exchange_data(struct kwb_exchange *exchange)
 {
@@ -319,7 +317,7 @@
 	}
 }
 
-/* Any but those tried, or any at all. */
+/* Leaves out upstreams that were tried, unless include_tried. */
 static struct kwb_pick_criteria
 criteria_for(const struct kwb_forward *forward, bool include_tried)
 {
@@ -358,7 +356,7 @@
 	kwb_timer_at(forward->timer, next_ns);
 }
 
-/* Whether any upstream of the service is there at all. */
+/* Whether no upstream of the service takes requests. */
 static bool
 service_is_empty(const struct kwb_forward *forward)
 {
@@ -396,9 +394,9 @@
 }
 
 /*
- * The first upstream is late: another one may be quicker. Where none has room
- * it is looked for include_tried; requests that come first keep a part of the
- * slots.
+ * The first upstream is late: starts a second attempt at another one. Where
+ * none has a free slot it is picked later, and then only where a part of the
+ * slots stays free for first attempts of other requests.
  */
 static void
 forward_hedge(struct kwb_forward *forward)
@@ -416,7 +414,7 @@
 		criteria.spare_divisor = KWB_HEDGE_SPARE_DIVISOR;
 	upstream = kwb_upstream_pick(forward->env->registry, &criteria);
 	if (upstream == NULL) {
-		/* One that refused may have room by now. */
+		/* One that refused may have a free slot by now. */
 		criteria.exclude = &first;
 		criteria.exclude_count = 1;
 		upstream = kwb_upstream_pick(forward->env->registry, &criteria);
