--- a/include/kwb.h
+++ b/include/kwb.h
@@ -496,7 +496,7 @@
 struct kwb_share_member {
 	char vm[KWB_NAME_MAX_BYTES];
 	uint64_t incarnation; /* not used */
-	uint32_t units;	      /* that it holds by the table's row */
+	uint32_t units;	      /* that it holds, by the table's row */
 };
 
 uint32_t kwb_share_holders(uint32_t allowance,
@@ -511,8 +511,8 @@
 /* Bounds a plan's retries to KWB_RETRY_PERCENT and a burst; thread-safe. */
 struct kwb_retry_budget {
 	pthread_mutex_t lock;
-	uint64_t first_tries; /* recent requests */
-	uint64_t retries;     /* of these */
+	uint64_t first_tries; /* recent ones; older ones fade out */
+	uint64_t retries;     /* likewise */
 };
 
 void kwb_retry_budget_init(
@@ -520,9 +520,9 @@
 void kwb_retry_budget_finish(
     struct kwb_retry_budget *budget); /* destroys its lock */
 void kwb_retry_budget_add_try(
-    struct kwb_retry_budget *budget); /* counts a request's first try */
+    struct kwb_retry_budget *budget); /* counts a request */
 bool kwb_retry_budget_take(
-    struct kwb_retry_budget *budget); /* false when it is spent */
+    struct kwb_retry_budget *budget); /* counts a retry; false when spent */
 
 /* ---- Route: which upstream takes a request ----------------------------- */
 
@@ -533,7 +533,7 @@
  */
 
 enum kwb_policy {
-	KWB_POLICY_DEFAULT,	/* two random choices and prompt affinity */
+	KWB_POLICY_DEFAULT,	/* two random choices, and two by the prompt */
 	KWB_POLICY_ROUND_ROBIN, /* a random one with capacity */
 	KWB_POLICY_LEAST_LOAD
 };
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -84,9 +84,9 @@
  */
 #define KWB_CONNECT_COST 0.15	 /* of opening a connection */
 #define KWB_PACE_NOISE_RATIO 1.6 /* plain requests vary by this factor */
-#define KWB_SUSPECT_FAILURES 2	 /* in a row make an upstream suspect */
-#define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* avoided so long at first */
-#define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* at most; it doubles */
+#define KWB_SUSPECT_FAILURES 2	 /* in a row, then it is suspect */
+#define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* first time it is avoided */
+#define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* longest, as it doubles */
 #define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)    /* a measured pace is valid */
 #define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS) /* a baseline is valid */
 #define KWB_PACE_MEDIAN_MAX 32 /* upstreams that a median is taken over */
@@ -175,10 +175,12 @@
 #define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS)
 #define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)
 #define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS) /* between reads of the row */
-#define KWB_SHARE_HOLDERS_MIN 32     /* members that hold a plan's units */
-#define KWB_SHARE_UNITS_PER_HOLDER 8 /* more members for more units */
-#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)	 /* after a plan's request */
-#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS) /* a member is not listed */
+#define KWB_SHARE_HOLDERS_MIN 32     /* agents that hold a plan's units */
+#define KWB_SHARE_UNITS_PER_HOLDER 8 /* more agents for more units */
+/* An entry stays linked to a plan's agents so long after its last request. */
+#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)
+/* An agent that the platform has not listed so long loses its units. */
+#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS)
 #define KWB_CAS_TRIES 8
 
 /* Requests */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -617,7 +617,7 @@
 /* One of the services that share a route's requests. */
 struct kwb_route_split {
 	char service[KWB_NAME_MAX_BYTES];
-	uint32_t weight; /* its part of the requests, against the others' */
+	uint32_t weight; /* part of the requests, relative to the others' */
 };
 
 struct kwb_route_entry {
@@ -628,12 +628,12 @@
 	bool resumable;	     /* a stream may go on at another upstream */
 	bool single_version; /* an item's text comes from one weight version */
 	bool sticky; /* prefer upstreams that read the same prompt prefix */
-	uint32_t timeout_ms;		/* 0 when not set */
-	uint32_t target_latency_ms;	/* 0 when not set */
-	uint32_t run_deadline_ms;	/* of a batch */
-	uint32_t item_ttl_ms;		/* then an item may be given up */
-	uint32_t max_attempts;		/* of one request, the first included */
-	uint32_t priority;		/* not used */
+	uint32_t timeout_ms;	    /* 0 when not set */
+	uint32_t target_latency_ms; /* 0 when not set */
+	uint32_t run_deadline_ms;   /* time for a whole batch */
+	uint32_t item_ttl_ms;	    /* after which an item may be given up */
+	uint32_t max_attempts;	    /* of one request, the first included */
+	uint32_t priority;	    /* not used */
 	struct kwb_route_split *splits; /* at least one */
 	uint32_t splits_count;
 };
@@ -732,8 +732,9 @@
 
 void kwb_registry_init(struct kwb_registry *registry);	 /* empty */
 void kwb_registry_finish(struct kwb_registry *registry); /* frees all */
-struct kwb_upstream *kwb_registry_put(struct kwb_registry *registry,
-    const struct kwb_upstream_status *status); /* adds or updates; or NULL */
+/* Adds or updates an upstream; NULL when out of memory. */
+struct kwb_upstream *kwb_registry_put(
+    struct kwb_registry *registry, const struct kwb_upstream_status *status);
 void kwb_registry_remove(struct kwb_registry *registry,
     const char *id); /* takes it off the list; freed when not referred to */
 struct kwb_upstream *kwb_registry_find(const struct kwb_registry *registry,
@@ -765,7 +766,7 @@
 	const char *failure_domain; /* preferred, NULL for none */
 	const char *model;	    /* NULL for plain requests */
 	uint64_t min_version;	    /* oldest weights allowed */
-	const struct kwb_upstream *const *exclude;
+	const struct kwb_upstream *const *exclude; /* never picked */
 	uint32_t exclude_count;
 	const char *affinity_id; /* upstream that read the prompt, or NULL */
 	bool needs_free_slot;	 /* only upstreams with a free slot */
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -358,7 +358,7 @@
 
 /* Whether no upstream of the service takes requests. */
 static bool
-service_is_empty(const struct kwb_forward *forward)
+is_service_empty(const struct kwb_forward *forward)
 {
 	const struct kwb_registry *registry = forward->env->registry;
 	uint32_t i;
@@ -385,7 +385,7 @@
 		attempt_start(&forward->attempts[0], upstream);
 		return;
 	}
-	if (forward->sent_count == 0 && service_is_empty(forward)) {
+	if (forward->sent_count == 0 && is_service_empty(forward)) {
 		forward_end(forward, KWB_FORWARD_NOT_RUN, "no_upstream");
 		return;
 	}
@@ -394,9 +394,9 @@
 }
 
 /*
- * The first upstream is late: starts a second attempt at another one. Where
- * none has a free slot it is picked later, and then only where a part of the
- * slots stays free for first attempts of other requests.
+ * The first upstream is late: starts a second attempt at another one. When none
+ * has a free slot this is tried again later, and then a part of the slots must
+ * stay free for first attempts of other requests.
  */
 static void
 forward_hedge(struct kwb_forward *forward)
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -32,10 +32,10 @@
 	char row_key[KWB_KEY_MAX_BYTES];
 	uint64_t row_revision;
 	json_t *row;		/* as last read, with own changes; or NULL */
-	uint64_t take_after_ns; /* others that join with it register first */
-	bool row_dirty;		/* it has changes that may not be written */
+	uint64_t take_after_ns; /* no units before; others may be joining */
+	bool row_dirty;		/* has changes that the table may lack */
 	uint64_t writes;	/* tried; makes each row unique */
-	struct kwb_vms *vms;	/* the platform's list; NULL before */
+	struct kwb_vms *vms;	/* the platform's list; NULL until read */
 	unsigned missing_count;
 	struct missing missing[MISSING_MAX];
 	struct kwb_share_member members[MEMBERS_MAX]; /* of one plan */
@@ -60,6 +60,7 @@
 static void missing_remove(struct keeper *keeper, const char *vm);
 static bool has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns);
 
+/* The thread that moves units between this agent and the row. */
 void *
 share_run(void *argument)
 {
@@ -122,6 +123,10 @@
 	free(keeper);
 }
 
+/*
+ * Reads the row, moves units towards the fair parts and writes it. Clears
+ * settled while more has to follow soon.
+ */
 static void
 keeper_poll(struct keeper *keeper, bool *settled)
 {
@@ -273,6 +278,7 @@
 	return own;
 }
 
+/* Fills in the members with their units of a plan, and this agent's index. */
 static unsigned
 members_load(struct keeper *keeper, const char *plan, unsigned *self)
 {
@@ -424,7 +430,7 @@
 	return before < WATCHERS;
 }
 
-/* Its time starts again when it goes missing later. */
+/* When a member goes missing again later, its time starts anew. */
 static void
 missing_remove(struct keeper *keeper, const char *vm)
 {
@@ -436,6 +442,7 @@
 			    keeper->missing[--keeper->missing_count];
 }
 
+/* Whether a missing member's time is up; the first call starts its time. */
 static bool
 is_reclaimable(struct keeper *keeper, const char *vm)
 {
@@ -456,7 +463,7 @@
 
 /*
  * Whether the upstream runs nothing from an earlier process on this VM, which
- * would still count against the allowance.
+ * would still count against the allowance. True as well after give_up_ns.
  */
 static bool
 has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
