--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -80,30 +80,33 @@
 /* Upstreams of the shared platform */
 /*
  * A unit of work is a plain request or one event of a generation. Its pace is
- * the time it takes, and costs are parts of it.
+ * the time it takes, and costs are fractions of it.
  */
 #define KWB_CONNECT_COST 0.15	 /* of opening a connection */
 #define KWB_PACE_NOISE_RATIO 1.6 /* plain requests vary by this factor */
-#define KWB_SUSPECT_FAILURES 2	 /* in a row, then it is suspect */
+#define KWB_SUSPECT_FAILURES 2	 /* in a row make an upstream suspect */
 #define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* first time it is avoided */
 #define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* longest, as it doubles */
-#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)    /* a measured pace is valid */
-#define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS) /* a baseline is valid */
-#define KWB_PACE_MEDIAN_MAX 32 /* upstreams that a median is taken over */
-#define KWB_BASELINE_PACE_DIVISOR 1024 /* a baseline follows a rise slowly */
-/* Events less apart were delayed and came together; more is a pause. */
+/* How long a measured pace counts, and its baseline, which changes slowly. */
+#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)
+#define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS)
+#define KWB_PACE_MEDIAN_MAX 32 /* upstreams that the median is taken over */
+#define KWB_BASELINE_PACE_DIVISOR 1024 /* of a rise that a baseline follows */
+/* Shorter times are delayed events that came together, longer ones pauses. */
 #define KWB_PACE_MIN_NS (1 * KWB_MS_NS)
 #define KWB_PACE_MAX_NS (500 * KWB_MS_NS)
-#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS)	/* a reported load is valid */
-#define KWB_REFUSED_BACKOFF_NS (60 * KWB_MS_NS) /* avoided after a refusal */
-/* Avoided while another upstream answers at its address. */
+#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS) /* a reported load counts */
+/* How long to avoid an upstream that refused a request. */
+#define KWB_REFUSED_BACKOFF_NS (60 * KWB_MS_NS)
+/* Likewise, when another upstream has answered at its address. */
 #define KWB_MISDIRECTED_BACKOFF_NS (1000 * KWB_MS_NS)
 #define KWB_PREFIXES_MAX 1024	    /* prompt prefixes remembered; 72 KB */
 #define KWB_FORWARD_RETRY_MIN_MS 15 /* no retry with less time left */
-/* An exchange's deadline is later, so that the forward's own comes first. */
+/* An exchange ends after the request, whose own timer comes first. */
 #define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS)
-#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS) /* between tries to pick one */
-#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)   /* likewise, for a hedge */
+/* Between tries to find an upstream: for a request, and for its hedge. */
+#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)
+#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)
 /* A delayed hedge leaves a third of the slots to other first attempts. */
 #define KWB_HEDGE_SPARE_DIVISOR 3
 
@@ -177,9 +180,9 @@
 #define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS) /* between reads of the row */
 #define KWB_SHARE_HOLDERS_MIN 32     /* agents that hold a plan's units */
 #define KWB_SHARE_UNITS_PER_HOLDER 8 /* more agents for more units */
-/* An entry stays linked to a plan's agents so long after its last request. */
+/* An entry stays linked to a plan's agents this long after its last request. */
 #define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)
-/* An agent that the platform has not listed so long loses its units. */
+/* An agent that the platform has not listed for this long loses its units. */
 #define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS)
 #define KWB_CAS_TRIES 8
 
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -8,9 +8,9 @@
 
 #include "kwb.h"
 
-/* Costs are in parts of a candidate's slots. */
-#define AFFINITY_BONUS 0.30 /* of the highest rank for the prompt */
-#define DOMAIN_PENALTY 0.05
+/* Costs are fractions of a candidate's slots. */
+#define AFFINITY_BONUS 0.30 /* for the first rank by the prompt */
+#define DOMAIN_PENALTY 0.05 /* for another failure domain */
 #define COST_MAX 1e9
 
 static bool has_capacity(
--- a/src/upstream/pick.c
+++ b/src/upstream/pick.c
@@ -8,7 +8,7 @@
 
 #include "kwb_node.h"
 
-/* Costs are in parts of a unit of work. */
+/* Costs are fractions of a unit of work. */
 #define REMOTE_DOMAIN_COST 0.08 /* network between failure domains */
 #define PREFIX_MISS_COST 0.10	/* a generation's prompt is not cached */
 /* The prompt of a sticky route is not cached: as much as two connections. */
