--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -91,7 +91,7 @@
 #define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)
 #define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS)
 #define KWB_PACE_MEDIAN_MAX 32 /* upstreams that the median is taken over */
-#define KWB_BASELINE_PACE_DIVISOR 1024 /* of a rise that a baseline follows */
+#define KWB_BASELINE_PACE_DIVISOR 1024 /* a rise counts by 1/1024 at a time */
 /* Shorter times are delayed events that came together, longer ones pauses. */
 #define KWB_PACE_MIN_NS (1 * KWB_MS_NS)
 #define KWB_PACE_MAX_NS (500 * KWB_MS_NS)
@@ -102,7 +102,7 @@
 #define KWB_MISDIRECTED_BACKOFF_NS (1000 * KWB_MS_NS)
 #define KWB_PREFIXES_MAX 1024	    /* prompt prefixes remembered; 72 KB */
 #define KWB_FORWARD_RETRY_MIN_MS 15 /* no retry with less time left */
-/* An exchange ends after the request, whose own timer comes first. */
+/* Added to an exchange's deadline, so that the request's own is first. */
 #define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS)
 /* Between tries to find an upstream: for a request, and for its hedge. */
 #define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)
