--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -89,26 +89,37 @@
 #define KWB_RELAY_IDLE_S 5	     /* longer than a feed waits */
 
 /* Upstreams of the shared platform */
-#define KWB_CONNECT_COST 0.15  /* of a new connection, in pieces of work */
-#define KWB_PACE_NOISE 1.6     /* plain work varies by so much */
-#define KWB_SUSPECT_FAILURES 2 /* in a row, before an upstream is avoided */
+/*
+ * A unit of work is a plain request or one event of a generation. Its pace is
+ * the time it takes, and costs are fractions of it.
+ */
+#define KWB_CONNECT_COST 0.15	 /* of opening a connection */
+#define KWB_PACE_NOISE_RATIO 1.6 /* plain requests vary by this factor */
+#define KWB_SUSPECT_FAILURES 2	 /* in a row make an upstream suspect */
 #define KWB_SUSPECT_NS (1000 * KWB_MS_NS)     /* first time it is avoided */
 #define KWB_SUSPECT_MAX_NS (8000 * KWB_MS_NS) /* longest, as it doubles */
-#define KWB_PACE_KEEP_NS (4000 * KWB_MS_NS)   /* a measured pace counts */
-#define KWB_PACE_USUAL_NS (60000 * KWB_MS_NS) /* likewise, while not slow */
-#define KWB_PACE_USUAL_MAX 32	/* upstreams looked at for the usual pace */
-#define KWB_PACE_CALM_PART 1024 /* of a change: slow to follow */
-#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)	      /* shorter: held up on the way */
-#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)     /* longer is a pause */
-#define KWB_REPORT_KEEP_NS (400 * KWB_MS_NS)  /* a reported load counts */
-#define KWB_REFUSED_NS (60 * KWB_MS_NS)	      /* left alone after it was full */
-#define KWB_MISDIRECTED_NS (1000 * KWB_MS_NS) /* address of another one */
-#define KWB_PARTS_MAX 1024	/* parts of prompts known; 72 KB */
-#define KWB_FORWARD_LEAST_MS 15 /* no new try with less time left */
-#define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS) /* its own deadline is first */
-#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)  /* between looks for a place */
-#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)    /* likewise, for a second try */
-#define KWB_HEDGE_SPARE_PART 3 /* a third of the slots is left to others */
+/* How long a measured pace counts, and its baseline, which changes slowly. */
+#define KWB_PACE_TTL_NS (4000 * KWB_MS_NS)
+#define KWB_BASELINE_PACE_TTL_NS (60000 * KWB_MS_NS)
+#define KWB_PACE_MEDIAN_MAX 32 /* upstreams that the median is taken over */
+#define KWB_BASELINE_PACE_DIVISOR 1024 /* a rise counts by 1/1024 at a time */
+/* Shorter times are delayed events that came together, longer ones pauses. */
+#define KWB_PACE_MIN_NS (1 * KWB_MS_NS)
+#define KWB_PACE_MAX_NS (500 * KWB_MS_NS)
+#define KWB_REPORT_TTL_NS (400 * KWB_MS_NS) /* a reported load counts */
+/* How long to avoid an upstream that refused a request. */
+#define KWB_REFUSED_BACKOFF_NS (60 * KWB_MS_NS)
+/* Likewise, when another upstream has answered at its address. */
+#define KWB_MISDIRECTED_BACKOFF_NS (1000 * KWB_MS_NS)
+#define KWB_PREFIXES_MAX 1024	    /* prompt prefixes remembered; 72 KB */
+#define KWB_FORWARD_RETRY_MIN_MS 15 /* no retry with less time left */
+/* Added to an exchange's deadline, so that the request's own is first. */
+#define KWB_FORWARD_MARGIN_NS (50 * KWB_MS_NS)
+/* Between tries to find an upstream: for a request, and for its hedge. */
+#define KWB_FORWARD_RETRY_NS (15 * KWB_MS_NS)
+#define KWB_HEDGE_RETRY_NS (50 * KWB_MS_NS)
+/* A delayed hedge leaves a third of the slots to other first attempts. */
+#define KWB_HEDGE_SPARE_DIVISOR 3
 
 /* Batches */
 #define KWB_ITEM_TTL_MS 30000		    /* when no route names one */
@@ -186,11 +197,13 @@
 /* Platform */
 #define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS) /* between reads of the lists */
 #define KWB_VMS_POLL_NS (2000 * KWB_MS_NS)   /* between reads of the VM list */
-#define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS)
-#define KWB_HOME_AGENTS_MIN 32
-#define KWB_HOME_UNITS 8
-#define KWB_DEMAND_NS (60000 * KWB_MS_NS)
-#define KWB_SHARE_GONE_NS (10000 * KWB_MS_NS)
+#define KWB_SHARE_POLL_NS (2000 * KWB_MS_NS) /* between reads of the row */
+#define KWB_SHARE_HOLDERS_MIN 32     /* agents that hold a plan's units */
+#define KWB_SHARE_UNITS_PER_HOLDER 8 /* more agents for more units */
+/* An entry stays linked to a plan's agents this long after its last request. */
+#define KWB_DEMAND_TTL_NS (60000 * KWB_MS_NS)
+/* An agent that the platform has not listed for this long loses its units. */
+#define KWB_SHARE_RECLAIM_NS (10000 * KWB_MS_NS)
 #define KWB_CAS_TRIES 8 /* of a compare-and-set that meets another writer */
 
 /* Requests */
@@ -202,11 +215,11 @@
 #define KWB_JOB_ATTACHMENTS_MAX 4	  /* requests that wait for one job */
 #define KWB_JOB_ORPHAN_NS (10000 * KWB_MS_NS) /* unattached until cancelled */
 #define KWB_TICKET_TTL_MS 300000	      /* a key is refused when older */
-#define KWB_RETRY_PERCENT 10
-#define KWB_RETRY_BURST 20
-#define KWB_QUEUE_POLL_NS (5 * KWB_MS_NS)   /* between tries to start */
-#define KWB_PEER_BUSY_NS (20 * KWB_MS_NS)   /* not chosen after it was busy */
-#define KWB_PEER_TRIP_NS (1000 * KWB_MS_NS) /* not chosen after failures */
+#define KWB_RETRY_PERCENT 10		      /* retries per 100 first tries */
+#define KWB_RETRY_BURST 20		      /* retries on top of that */
+#define KWB_QUEUE_POLL_NS (5 * KWB_MS_NS)     /* between tries to start */
+#define KWB_PEER_BUSY_NS (20 * KWB_MS_NS)     /* not chosen after it was busy */
+#define KWB_PEER_TRIP_NS (1000 * KWB_MS_NS)   /* not chosen after failures */
 #define KWB_PEER_TRIP_FAILURES 3 /* in a row, before it is not chosen */
 
 /* Weights */
--- a/src/batch/pump.c
+++ b/src/batch/pump.c
@@ -14,21 +14,21 @@
 {
 	const struct kwb_batch *batch = run->batch;
 	const struct kwb_upstream *current = run->upstream;
-	struct kwb_pick pick = {
+	struct kwb_pick_criteria pick = {
 	    .service = service,
 	    .failure_domain = run_env(run)->forward->failure_domain,
 	    .model = batch->spec.model,
 	    .min_version = batch->spec.min_version,
-	    .affinity = batch->groups[run->group].upstream_id,
+	    .affinity_id = batch->groups[run->group].upstream_id,
 	    .exclude = &current,
 	    .exclude_count = current != NULL,
-	    .within_slots = true,
+	    .needs_free_slot = true,
 	    .now_ns = kwb_clock_now_ns(),
 	    .random = (uint64_t)random(),
 	};
 
-	if (pick.affinity[0] == '\0')
-		pick.affinity = NULL;
+	if (pick.affinity_id[0] == '\0')
+		pick.affinity_id = NULL;
 	return kwb_upstream_pick(run_env(run)->forward->registry, &pick);
 }
 
@@ -52,11 +52,11 @@
 	    .moves = run->moves,
 	    .elapsed_ns = now_ns - run->started_ns};
 
-	if (now_ns - candidate->pace_at_ns < KWB_PACE_KEEP_NS)
+	if (now_ns - candidate->pace_updated_ns < KWB_PACE_TTL_NS)
 		input.best_pace_ns = candidate->pace_ns;
 	else
 		input.best_pace_ns =
-		    kwb_registry_usual_pace(run_env(run)->forward->registry,
+		    kwb_registry_median_pace(run_env(run)->forward->registry,
 			candidate->status.service, now_ns);
 	if (kwb_upstream_is_loading(
 		run->upstream, run->batch->spec.model, now_ns))
@@ -69,7 +69,7 @@
 run_move(
     struct item_run *run, struct kwb_upstream *candidate, const char *reason)
 {
-	const struct kwb_route_entry *route = kwb_node_config_route(
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
 	    *run_env(run)->config, run->batch->record.host, run->item->target);
 
 	if (route == NULL)
@@ -94,14 +94,14 @@
 	}
 	if (kwb_item_is_stalled(&stall)) {
 		/* An upstream where others get events has not failed. */
-		if (now_ns - run->upstream->pace_at_ns >= KWB_STALL_NS)
-			kwb_upstream_failed(run->upstream, now_ns);
+		if (now_ns - run->upstream->pace_updated_ns >= KWB_STALL_NS)
+			kwb_upstream_record_failure(run->upstream, now_ns);
 		run_retry(run, 0, "silent");
 		return;
 	}
 	queued = kwb_item_is_queued(&stall);
 	if (queued)
-		run->upstream->refused_until_ns =
+		run->upstream->backoff_until_ns =
 		    now_ns + KWB_QUEUED_BACKOFF_NS;
 	else if (run->last_event == 0)
 		return;
@@ -154,7 +154,7 @@
 dispatch_run(struct item_run *run)
 {
 	const struct kwb_batch_env *env = run_env(run);
-	const struct kwb_route_entry *route = kwb_node_config_route(
+	const struct kwb_route_entry *route = kwb_node_config_find_route(
 	    *env->config, run->batch->record.host, run->item->target);
 	struct kwb_upstream *upstream;
 	uint64_t seed = 0;
@@ -166,7 +166,8 @@
 	}
 	for (c = run->item->id; *c != '\0'; c++)
 		seed = seed * 31 + (unsigned char)*c;
-	upstream = run_pick_upstream(run, kwb_route_entry_service(route, seed));
+	upstream =
+	    run_pick_upstream(run, kwb_route_entry_pick_service(route, seed));
 	if (upstream == NULL)
 		return false;
 	run_start(run, upstream, route);
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -58,12 +58,13 @@
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
 	inbox_init(&dispatch.inbox);
-	kwb_budget_try(&gate->budget);
+	kwb_retry_budget_add_try(&gate->budget);
 	do {
 		/* A refusal for lack of room costs no retry: nothing ran. */
 		was_full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
-		if (is_retry && !was_full && !kwb_budget_retry(&gate->budget))
+		if (is_retry && !was_full &&
+		    !kwb_retry_budget_take(&gate->budget))
 			break;
 		if (is_retry)
 			kwb_clock_sleep_ns(RETRY_DELAY_NS);
@@ -81,7 +82,7 @@
 call_pin_create(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin)
 {
-	struct kwb_route route = {
+	struct kwb_route_query route = {
 	    .random = entry_random(), .exclude = -1, .priority = true};
 	struct target target;
 	int error = peers_pick(entry, &route, plan, NULL, pin->key, &target);
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -1,8 +1,8 @@
 /*
- * Keeps this agent's part of each plan's allowance in the pool's table row.
- * The sum over the row never exceeds an allowance: the cap in force here is
- * lowered before the row says less, and raised only after the row says more.
- * In an outage of the table every agent keeps what it holds.
+ * Keeps this agent's part of each plan's allowance in the pool's row of the
+ * table. The parts in force never add up to more than the allowance: this
+ * agent's cap is lowered before the row has fewer units for it, and raised only
+ * after the row has more. While the table is down, each agent keeps its units.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,57 +14,59 @@
 
 #define MEMBERS_MAX KWB_VMS_MAX
 #define MISSING_MAX 64
-#define WATCHERS 3
-#define WATCH_TURN_MS 60000
-#define UNSETTLED_NS (500 * KWB_MS_NS)
-#define STEP_NS (100 * KWB_MS_NS)
-#define MEMBER_POLL_NS (5 * KWB_MS_NS)
-#define SETTLE_NS (KWB_CALL_TIMEOUT_MS * KWB_MS_NS)
-
+#define WATCHERS 3		/* members that look for lost ones at a time */
+#define WATCH_ROTATION_MS 60000 /* then others do */
+#define UNSETTLED_POLL_NS (500 * KWB_MS_NS) /* while units are moving */
+#define SLEEP_NS (100 * KWB_MS_NS)
+#define POLL_PER_MEMBER_NS (5 * KWB_MS_NS) /* large pools poll less often */
+#define OLD_WORK_MAX_NS (KWB_CALL_TIMEOUT_MS * KWB_MS_NS)
+
+/* A member that the platform does not list. */
 struct missing {
 	char vm[KWB_NAME_MAX_BYTES];
-	uint64_t gone_deadline_ns;
+	uint64_t reclaim_ns; /* when its units may be taken back */
 };
 
 struct keeper {
 	struct kwb_agent *agent;
 	char row_key[KWB_KEY_MAX_BYTES];
 	uint64_t row_revision;
-	json_t *row;	  /* as last read, with own changes; NULL before */
-	uint64_t take_ns; /* not before: others may be joining too */
-	bool row_dirty;	  /* it has own changes */
-	uint64_t writes;
-	struct kwb_vms *vms; /* the platform's list; NULL until looked at */
+	json_t *row;		/* as last read, with own changes; or NULL */
+	uint64_t take_after_ns; /* no units before; others may be joining */
+	bool row_dirty;		/* has changes that the table may lack */
+	uint64_t writes;	/* tried; makes each row unique */
+	struct kwb_vms *vms;	/* the platform's list; NULL until read */
 	unsigned missing_count;
 	struct missing missing[MISSING_MAX];
-	struct kwb_share_member members[MEMBERS_MAX];
+	struct kwb_share_member members[MEMBERS_MAX]; /* of one plan */
 };
 
 static void keeper_poll(struct keeper *keeper, bool *settled);
-static bool plans_next(struct keeper *keeper, bool reachable, bool *settled);
+static bool plans_update(struct keeper *keeper, bool reachable, bool *settled);
 static int row_read(struct keeper *keeper);
 static int row_write(struct keeper *keeper);
 static json_t *row_members(const struct keeper *keeper);
 static json_t *own_units(struct keeper *keeper);
-static unsigned members_for(
+static unsigned members_load(
     struct keeper *keeper, const char *plan, unsigned *self);
-static void plan_lower(
+static void plan_lower_cap(
     struct keeper *keeper, const char *plan, uint32_t allowance);
-static bool plan_next(
+static bool plan_update(
     struct keeper *keeper, const char *plan, uint32_t allowance, bool *settled);
-static void plans_apply(struct keeper *keeper, json_t *units);
-static unsigned gone_members(struct keeper *keeper, bool remove);
-static bool watches(const struct keeper *keeper);
-static bool gone_long(struct keeper *keeper, const char *vm);
-static void missing_forget(struct keeper *keeper, const char *vm);
-static bool old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns);
-
+static void units_apply(struct keeper *keeper, json_t *units);
+static unsigned members_reclaim(struct keeper *keeper, bool remove);
+static bool is_watcher(const struct keeper *keeper);
+static bool is_reclaimable(struct keeper *keeper, const char *vm);
+static void missing_remove(struct keeper *keeper, const char *vm);
+static bool has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns);
+
+/* The thread that moves units between this agent and the row. */
 void *
 share_run(void *argument)
 {
 	struct kwb_agent *agent = argument;
 	struct keeper *keeper = calloc(1, sizeof(*keeper));
-	uint64_t give_up_ns = kwb_clock_now_ns() + SETTLE_NS;
+	uint64_t give_up_ns = kwb_clock_now_ns() + OLD_WORK_MAX_NS;
 	uint64_t poll_ns = 0, revision = 0;
 	bool settled = false;
 
@@ -75,8 +77,8 @@
 	snprintf(keeper->row_key, sizeof(keeper->row_key), "shares/%s",
 	    agent->settings->pool);
 	while (!atomic_load(&agent->stopping) &&
-	    !old_work_ended(agent, give_up_ns))
-		kwb_clock_sleep_ns(STEP_NS);
+	    !has_old_work_ended(agent, give_up_ns))
+		kwb_clock_sleep_ns(SLEEP_NS);
 	while (!atomic_load(&agent->stopping)) {
 		uint64_t now_ns = kwb_clock_now_ns();
 
@@ -86,11 +88,11 @@
 			revision = kwb_current_lists_revision();
 			keeper_poll(keeper, &settled);
 			poll_ns = kwb_clock_now_ns() +
-			    (settled ? KWB_SHARE_POLL_NS : UNSETTLED_NS) +
+			    (settled ? KWB_SHARE_POLL_NS : UNSETTLED_POLL_NS) +
 			    json_object_size(row_members(keeper)) *
-				MEMBER_POLL_NS;
+				POLL_PER_MEMBER_NS;
 		}
-		kwb_clock_sleep_ns(STEP_NS);
+		kwb_clock_sleep_ns(SLEEP_NS);
 	}
 	json_decref(keeper->row);
 	free(keeper->vms);
@@ -99,7 +101,7 @@
 	return NULL;
 }
 
-/* Gives everything back, at the end of a planned stop. */
+/* Gives all units back, at the end of a planned stop. */
 void
 share_leave(struct kwb_agent *agent)
 {
@@ -122,6 +124,10 @@
 	free(keeper);
 }
 
+/*
+ * Reads the row, moves units towards the fair parts and writes it. Clears
+ * settled while more has to follow soon.
+ */
 static void
 keeper_poll(struct keeper *keeper, bool *settled)
 {
@@ -137,44 +143,44 @@
 		joined = json_object_get(row_members(keeper),
 			     keeper->agent->settings->vm) == NULL;
 		if (joined)
-			keeper->take_ns = kwb_clock_now_ns() + UNSETTLED_NS;
+			keeper->take_after_ns =
+			    kwb_clock_now_ns() + UNSETTLED_POLL_NS;
 		changed = joined;
 		units = own_units(keeper);
-		/* First, so that what they held is free for the plans below. */
-		if (!watches(keeper))
+		/* First, so that their units are free for the plans below. */
+		if (!is_watcher(keeper))
 			keeper->missing_count = 0;
-		else if (gone_members(keeper, reachable) > 0)
+		else if (members_reclaim(keeper, reachable) > 0)
 			changed = true;
-		if (plans_next(keeper, reachable, settled))
+		if (plans_update(keeper, reachable, settled))
 			changed = true;
 		if (!reachable) {
-			/* What a lost member held is free soon. */
+			/* The units of a lost member will be free soon. */
 			if (keeper->missing_count > 0)
 				*settled = false;
 			return;
 		}
 		if (!changed) {
-			plans_apply(keeper, units);
+			units_apply(keeper, units);
 			return;
 		}
 		json_incref(units);
 		if (row_write(keeper) == 0) {
-			plans_apply(keeper, units);
+			units_apply(keeper, units);
 			json_decref(units);
 			return;
 		}
 		json_decref(units);
-		/* What was not written is not held. */
+		/* Units that were not written are not held. */
 		if (row_read(keeper) == 0)
-			plans_apply(keeper, own_units(keeper));
+			units_apply(keeper, own_units(keeper));
 		kwb_clock_sleep_ns((kwb_clock_now_ns() % 20 + 1) * KWB_MS_NS);
 	}
 }
 
-/* Lowers and raises this agent's part of each plan; true when the row changed.
- */
+/* Updates this agent's units of each plan; true when the row changed. */
 static bool
-plans_next(struct keeper *keeper, bool reachable, bool *settled)
+plans_update(struct keeper *keeper, bool reachable, bool *settled)
 {
 	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	bool changed = false;
@@ -187,14 +193,14 @@
 
 		if (strcmp(plan->pool, keeper->agent->settings->pool) != 0)
 			continue;
-		plan_lower(keeper, plan->name, allowance->concurrent);
-		/* Units that can't be written now may go to others. */
+		plan_lower_cap(keeper, plan->name, allowance->concurrent);
+		/* Units that cannot be written now may be taken by others. */
 		if (!reachable)
 			continue;
-		/* First known to all, so that parts are fair. */
-		if (kwb_clock_now_ns() < keeper->take_ns)
+		/* Members that join together count each other first. */
+		if (kwb_clock_now_ns() < keeper->take_after_ns)
 			*settled = false;
-		else if (plan_next(keeper, plan->name, allowance->concurrent,
+		else if (plan_update(keeper, plan->name, allowance->concurrent,
 			     settled))
 			changed = true;
 	}
@@ -258,7 +264,7 @@
 	return json_object_get(keeper->row, "members");
 }
 
-/* This agent's units by plan, registered with none on first sight. */
+/* This agent's units by plan; adds it to the row with none when new. */
 static json_t *
 own_units(struct keeper *keeper)
 {
@@ -273,8 +279,9 @@
 	return own;
 }
 
+/* Fills in the members with their units of a plan, and this agent's index. */
 static unsigned
-members_for(struct keeper *keeper, const char *plan, unsigned *self)
+members_load(struct keeper *keeper, const char *plan, unsigned *self)
 {
 	const char *vm;
 	json_t *units;
@@ -296,14 +303,14 @@
 }
 
 /*
- * Brings the cap in force down to the fair part and to what the row grants,
- * before anything else is decided.
+ * Lowers the cap in force to the fair part and to the row's units, before the
+ * row is changed.
  */
 static void
-plan_lower(struct keeper *keeper, const char *plan, uint32_t allowance)
+plan_lower_cap(struct keeper *keeper, const char *plan, uint32_t allowance)
 {
 	unsigned self = 0;
-	unsigned count = members_for(keeper, plan, &self);
+	unsigned count = members_load(keeper, plan, &self);
 	uint32_t fair =
 	    kwb_share_fair(allowance, plan, keeper->members, count, self);
 	uint32_t held = keeper->members[self].units;
@@ -311,13 +318,13 @@
 	run_set_units(keeper->agent, plan, held < fair ? held : fair);
 }
 
-/* Writes into the row what to hold next; true when that is a change. */
+/* Puts the units to hold next into the row; true when they changed. */
 static bool
-plan_next(
+plan_update(
     struct keeper *keeper, const char *plan, uint32_t allowance, bool *settled)
 {
 	unsigned self = 0;
-	unsigned count = members_for(keeper, plan, &self);
+	unsigned count = members_load(keeper, plan, &self);
 	uint32_t running = run_plan_running(keeper->agent, plan);
 	uint32_t held = keeper->members[self].units;
 	uint32_t fair =
@@ -342,9 +349,9 @@
 	return true;
 }
 
-/* Puts what the row grants into force. */
+/* Sets the caps in force by the units of the written row. */
 static void
-plans_apply(struct keeper *keeper, json_t *units)
+units_apply(struct keeper *keeper, json_t *units)
 {
 	const struct kwb_lists *lists = kwb_current_lists_read_lock();
 	const char *plan;
@@ -353,7 +360,7 @@
 	json_object_foreach (units, plan, value) {
 		const struct kwb_allowance *allowance =
 		    lists ? kwb_lists_find_allowance(lists, plan) : NULL;
-		unsigned self = 0, count = members_for(keeper, plan, &self);
+		unsigned self = 0, count = members_load(keeper, plan, &self);
 		uint32_t held = (uint32_t)json_integer_value(value), fair = 0;
 
 		if (allowance != NULL)
@@ -365,26 +372,27 @@
 }
 
 /*
- * Counts the members that the platform has long listed as gone, and removes
- * them where the row was read. They stopped work before: entries tell a live
- * agent that it is listed so, and it leaves. The list of VMs is not in the
- * table, so that a member's time runs while the table is out.
+ * Counts the members that the platform has not listed for
+ * KWB_SHARE_RECLAIM_NS, and removes them from the row if told so. They have
+ * stopped working by then: entries tell a live agent that it is not listed, and
+ * it leaves. The list of VMs is not in the table, so the time also runs while
+ * the table is down.
  */
 static unsigned
-gone_members(struct keeper *keeper, bool remove)
+members_reclaim(struct keeper *keeper, bool remove)
 {
 	const struct kwb_platform *platform = &keeper->agent->platform;
 	struct kwb_vms *vms = keeper->vms;
 	const char *vm;
 	json_t *units;
 	void *next;
-	unsigned gone = 0;
+	unsigned reclaimable = 0;
 	bool listed;
 	uint32_t i;
 
 	if (vms == NULL)
 		vms = keeper->vms = calloc(1, sizeof(*vms));
-	/* An empty list says nothing about anybody. */
+	/* An empty list is no evidence that all are gone. */
 	if (vms == NULL || kwb_vms_get(platform, vms) < 0 || vms->count == 0)
 		return 0;
 	json_object_foreach_safe (row_members(keeper), next, vm, units) {
@@ -392,27 +400,27 @@
 		for (i = 0; i < vms->count && !listed; i++)
 			listed = strcmp(vms->vms[i].vm, vm) == 0;
 		if (listed)
-			missing_forget(keeper, vm);
-		if (listed || !gone_long(keeper, vm))
+			missing_remove(keeper, vm);
+		if (listed || !is_reclaimable(keeper, vm))
 			continue;
-		gone++;
+		reclaimable++;
 		if (!remove)
 			continue;
 		kwb_log(KWB_LOG_WARN, "limit", "event=reclaim vm=%s", vm);
 		json_object_del(row_members(keeper), vm);
 		keeper->row_dirty = true;
 	}
-	return gone;
+	return reclaimable;
 }
 
 /*
  * Whether this agent is one of the few that look for lost members now. The
- * turn goes round, so that the loss of those whose turn it is ends with it.
+ * task rotates, so that others take it up when all watchers are lost.
  */
 static bool
-watches(const struct keeper *keeper)
+is_watcher(const struct keeper *keeper)
 {
-	uint64_t turn = kwb_clock_wall_ms() / WATCH_TURN_MS;
+	uint64_t turn = kwb_clock_wall_ms() / WATCH_ROTATION_MS;
 	uint64_t own = kwb_hash(keeper->agent->settings->vm, turn);
 	const char *vm;
 	json_t *units;
@@ -423,9 +431,9 @@
 	return before < WATCHERS;
 }
 
-/* A VM that is listed again starts anew when it goes missing later. */
+/* When a member goes missing again later, its time starts anew. */
 static void
-missing_forget(struct keeper *keeper, const char *vm)
+missing_remove(struct keeper *keeper, const char *vm)
 {
 	unsigned i;
 
@@ -435,8 +443,9 @@
 			    keeper->missing[--keeper->missing_count];
 }
 
+/* Whether a missing member's time is up; the first call starts its time. */
 static bool
-gone_long(struct keeper *keeper, const char *vm)
+is_reclaimable(struct keeper *keeper, const char *vm)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct missing *missing;
@@ -444,21 +453,21 @@
 
 	for (i = 0; i < keeper->missing_count; i++)
 		if (strcmp(keeper->missing[i].vm, vm) == 0)
-			return now_ns >= keeper->missing[i].gone_deadline_ns;
+			return now_ns >= keeper->missing[i].reclaim_ns;
 	if (keeper->missing_count == MISSING_MAX)
 		keeper->missing_count = 0;
 	missing = &keeper->missing[keeper->missing_count++];
 	kwb_text_copy(missing->vm, sizeof(missing->vm), vm);
-	missing->gone_deadline_ns = now_ns + KWB_SHARE_GONE_NS;
+	missing->reclaim_ns = now_ns + KWB_SHARE_RECLAIM_NS;
 	return false;
 }
 
 /*
- * Work of an earlier process on this VM still counts against the allowance:
- * hold back until the upstream reports that nothing runs.
+ * Whether the upstream runs nothing from an earlier process on this VM, which
+ * would still count against the allowance. True as well after give_up_ns.
  */
 static bool
-old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
+has_old_work_ended(struct kwb_agent *agent, uint64_t give_up_ns)
 {
 	bool idle;
 
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -41,7 +41,7 @@
 
 /* Routes a request: reserves a slot at the chosen peer and logs why. */
 int
-peers_pick(struct kwb_entry *entry, const struct kwb_route *route,
+peers_pick(struct kwb_entry *entry, const struct kwb_route_query *route,
     const char *plan, const char *model, const char *key, struct target *target)
 {
 	struct peers *peers = &entry->peers;
@@ -66,9 +66,9 @@
 	    "in_flight=%u slots=%u version=%" PRIu64 " min_version=%" PRIu64
 	    " same_domain=%d",
 	    plan, key, target->vm, choice.reason,
-	    candidates[choice.index].in_plan, candidates[choice.index].units,
-	    candidates[choice.index].in_flight, candidates[choice.index].slots,
-	    target->version, route->min_version,
+	    candidates[choice.index].plan_in_flight,
+	    candidates[choice.index].units, candidates[choice.index].in_flight,
+	    candidates[choice.index].slots, target->version, route->min_version,
 	    candidates[choice.index].same_domain);
 	return 0;
 }
@@ -196,12 +196,12 @@
 {
 	uint64_t demand_ns =
 	    atomic_load(&entry_gate(entry, plan->name)->demand_ns);
-	bool in_demand =
-	    demand_ns != 0 && kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_NS;
+	bool in_demand = demand_ns != 0 &&
+	    kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_TTL_NS;
 	unsigned i, used = 0, count;
 
 	count = kwb_home_select(vms, plan->pool, plan->name,
-	    kwb_share_homes(allowance->concurrent, vms->count), chosen,
+	    kwb_share_holders(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
 		if (in_demand ||
@@ -424,7 +424,7 @@
 		candidate->swapping = state->swapping;
 	}
 	candidate->units = plan_use->units;
-	candidate->in_plan = plan_use->own + plan_use->others;
+	candidate->plan_in_flight = plan_use->own + plan_use->others;
 	candidate->slots = peer->slots;
 	candidate->in_flight = peer->own + peer->others;
 }
