--- a/examples/hedge.c
+++ b/examples/hedge.c
@@ -12,7 +12,7 @@
 	struct kwb_hedge_input input = {
 	    .idle_units = 3,
 	    .token_ns = 30 * KWB_MS_NS,
-	    .made_tokens = 20000,
+	    .generated_tokens = 20000,
 	};
 	uint64_t silent_ms;
 
@@ -20,7 +20,7 @@
 		input.silent_ns = silent_ms * KWB_MS_NS;
 		printf("silent for %4llu ms: %s\n",
 		    (unsigned long long)silent_ms,
-		    kwb_hedge_wanted(&input) ? "moved" : "left alone");
+		    kwb_hedge_is_due(&input) ? "moved" : "left alone");
 	}
 	return 0;
 }
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -608,11 +608,11 @@
 	uint64_t silent_ns;	/* since the last token */
 	uint64_t token_ns;	/* usual time between tokens */
 	uint64_t wasted_tokens; /* thrown away by hedges so far */
-	uint64_t made_tokens;
+	uint64_t generated_tokens;
 	enum kwb_objective objective;
 };
 
-bool kwb_hedge_wanted(const struct kwb_hedge_input
+bool kwb_hedge_is_due(const struct kwb_hedge_input
 	*input); /* whether to move a silent sample; pure */
 
 struct kwb_sample_age {
@@ -621,7 +621,7 @@
 	uint32_t bound_versions;
 };
 
-bool kwb_sample_fresh(
+bool kwb_sample_is_fresh(
     const struct kwb_sample_age *age); /* within the bound; pure */
 
 /* ---- Weights: order of swaps ------------------------------------------- */
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -194,21 +194,28 @@
 #define KWB_LEASE_RENEW_NS (2000 * KWB_MS_NS)
 #define KWB_WEIGHTS_POLL_NS (500 * KWB_MS_NS)
 #define KWB_SWAP_TIMEOUT_MS 15000
-#define KWB_MOVER_NS (100 * KWB_MS_NS)	    /* between looks at what to order */
-#define KWB_MOVER_SOON_NS (10 * KWB_MS_NS)  /* answers come together */
-#define KWB_PLAN_NS (1000 * KWB_MS_NS)	    /* between plans of homes */
-#define KWB_LOAD_NS (900 * KWB_MS_NS)	    /* a load takes, while few load */
-#define KWB_LOAD_SEEN_NS (1120 * KWB_MS_NS) /* and is in reports, which lag */
-#define KWB_LOAD_LOOK_NS (150 * KWB_MS_NS)  /* between questions after that */
-#define KWB_LOAD_RETRY_NS (500 * KWB_MS_NS) /* after a refused order */
-#define KWB_HOMES_PERCENT 250 /* two batches are open, and some homes load */
-#define KWB_LOAD_AHEAD_PERCENT 80 /* homes loaded before they must be */
-#define KWB_LOAD_HOMES_PART 4	  /* a quarter of a model's homes at a time */
-#define KWB_LOAD_LEAST_NS (700 * KWB_MS_NS) /* no load is done before */
-#define KWB_LOAD_MOST_NS (3000 * KWB_MS_NS) /* an order may be lost */
-#define KWB_LAG_USUAL 1	 /* versions, before a batch has said it */
-#define KWB_LOADS_MIN 2	 /* loads at once; more slow each other down */
-#define KWB_LOADS_PART 5 /* one in so many upstreams of a service */
+#define KWB_UPDATER_PERIOD_NS                                                  \
+	(100 * KWB_MS_NS) /* between looks at what to order */
+#define KWB_UPDATER_DELAY_NS (10 * KWB_MS_NS)	/* answers come together */
+#define KWB_ASSIGN_PERIOD_NS (1000 * KWB_MS_NS) /* between plans of homes */
+#define KWB_WEIGHT_LOAD_NS (900 * KWB_MS_NS) /* a load takes, while few load   \
+					      */
+#define KWB_WEIGHT_LOAD_CHECK_NS                                               \
+	(1120 * KWB_MS_NS) /* and is in reports, which lag */
+#define KWB_WEIGHT_LOAD_RECHECK_NS                                             \
+	(150 * KWB_MS_NS) /* between questions after that */
+#define KWB_WEIGHT_LOAD_RETRY_NS (500 * KWB_MS_NS) /* after a refused order */
+#define KWB_REPLICA_SLOTS_PERCENT                                              \
+	250 /* two batches are open, and some homes load */
+#define KWB_WEIGHT_LOAD_AHEAD_PERCENT 80 /* homes loaded before they must be   \
+					  */
+#define KWB_WEIGHT_LOAD_AHEAD_DIVISOR                                          \
+	4 /* a quarter of a model's homes at a time */
+#define KWB_WEIGHT_LOAD_MIN_NS (700 * KWB_MS_NS)  /* no load is done before */
+#define KWB_WEIGHT_LOAD_MAX_NS (3000 * KWB_MS_NS) /* an order may be lost */
+#define KWB_LAG_DEFAULT_VERSIONS 1 /* versions, before a batch has said it */
+#define KWB_WEIGHT_LOADS_MIN 2 /* loads at once; more slow each other down */
+#define KWB_WEIGHT_LOADS_DIVISOR 5 /* one in so many upstreams of a service */
 #define KWB_ORDER_TIMEOUT_MS 1000
 
 #endif
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1241,48 +1241,52 @@
 void kwb_read_start(struct kwb_read *read);  /* on_done follows */
 void kwb_read_finish(struct kwb_read *read); /* no callback after */
 
-/* ---- Weights: homes of models and orders ------------------------------------
+/* ---- Weights: replicas of models and orders
+ * ------------------------------------
  */
 
-struct kwb_home_upstream {
+struct kwb_replica_assignment {
 	const char *id;
 	char model[KWB_NAME_MAX_BYTES]; /* current home, "" for none */
 };
 
-struct kwb_home_model {
+struct kwb_model_demand {
 	const char *name;
 	uint64_t demand; /* tokens of its newest batch, 0 unknown */
-	uint32_t most;	 /* homes that its batches can fill, 0 unknown */
+	uint32_t
+	    replicas_max; /* replicas that its batches can fill, 0 unknown */
 };
 
-void kwb_homes_plan(struct kwb_home_upstream *upstreams,
-    uint32_t upstreams_count, const struct kwb_home_model *models,
-    uint32_t models_count); /* assigns homes, moving as few as it can; pure */
+void kwb_replicas_assign(struct kwb_replica_assignment *upstreams,
+    uint32_t upstreams_count, const struct kwb_model_demand *models,
+    uint32_t
+	models_count); /* assigns replicas, moving as few as it can; pure */
 
 /* What decides whether an upstream gets new weights now. */
-struct kwb_load_input {
-	uint64_t version; /* it has */
-	uint64_t newest;  /* version that is named */
-	uint64_t lag;	  /* versions that a batch's weights may be behind */
-	uint64_t needed;  /* by a batch that is open; 0 for none */
-	uint32_t homes;	  /* of the model */
-	uint32_t homes_newest;	/* that have the newest version, or load it */
-	uint32_t homes_needed;	/* that have the needed one, or load it */
-	uint32_t homes_loading; /* of the model */
-	uint32_t serving; /* homes whose weights fit and that don't load */
+struct kwb_weight_load_input {
+	uint64_t version;  /* it has */
+	uint64_t newest;   /* version that is named */
+	uint64_t lag;	   /* versions that a batch's weights may be behind */
+	uint64_t needed;   /* by a batch that is open; 0 for none */
+	uint32_t replicas; /* of the model */
+	uint32_t replicas_newest; /* that have the newest version, or load it */
+	uint32_t replicas_needed; /* that have the needed one, or load it */
+	uint32_t replicas_loading; /* of the model */
+	uint32_t serving; /* replicas whose weights fit and that don't load */
 	uint32_t loading; /* upstreams of the service that load */
 	uint32_t loading_max;
 };
 
-enum kwb_load {
-	KWB_LOAD_NO,
-	KWB_LOAD_SOON, /* to keep the homes out of phase */
-	KWB_LOAD_NOW   /* the next batch has no use for it as it is */
+enum kwb_weight_load_urgency {
+	KWB_WEIGHT_LOAD_NONE,
+	KWB_WEIGHT_LOAD_AHEAD, /* to keep the replicas out of phase */
+	KWB_WEIGHT_LOAD_NOW    /* the next batch has no use for it as it is */
 };
 
-enum kwb_load kwb_load_wanted(const struct kwb_load_input *input); /* pure */
+enum kwb_weight_load_urgency kwb_weight_load_urgency(
+    const struct kwb_weight_load_input *input); /* pure */
 
-struct kwb_mover_upstream {
+struct kwb_replica {
 	char id[KWB_NAME_MAX_BYTES];
 	char model[KWB_NAME_MAX_BYTES];
 	uint64_t target; /* version ordered or named in its row */
@@ -1297,43 +1301,45 @@
 	struct kwb_exchange exchange;
 	bool asking; /* exchange in progress: a question */
 	bool ordering;
-	struct kwb_mover *mover;
-	TAILQ_ENTRY(kwb_mover_upstream) entry;
+	struct kwb_weight_updater *mover;
+	TAILQ_ENTRY(kwb_replica) entry;
 };
 
-TAILQ_HEAD(kwb_mover_list, kwb_mover_upstream);
+TAILQ_HEAD(kwb_replica_list, kwb_replica);
 
-struct kwb_named_version {
+struct kwb_model_version {
 	char model[KWB_NAME_MAX_BYTES];
 	uint64_t version;
 };
 
-struct kwb_mover {
+struct kwb_weight_updater {
 	const struct kwb_batch_env *env;
 	struct kwb_batches *batches;
 	struct kwb_store_lease lease;
-	struct kwb_follower homes;
+	struct kwb_follower replicas;
 	struct kwb_store_call call;
 	struct event *timer;
-	struct kwb_mover_list upstreams;
+	struct kwb_replica_list upstreams;
 	struct kwb_index index; /* of them, by id */
-	struct kwb_named_version versions[KWB_MODELS_MAX];
+	struct kwb_model_version versions[KWB_MODELS_MAX];
 	uint32_t versions_count;
-	uint64_t plan_ns; /* when homes are planned again */
+	uint64_t plan_ns; /* when replicas are planned again */
 	bool look_soon;	  /* the timer is armed for answers */
 	bool writing;
 };
 
-int kwb_mover_init(struct kwb_mover *mover, const struct kwb_batch_env *env,
+int kwb_weight_updater_init(struct kwb_weight_updater *mover,
+    const struct kwb_batch_env *env,
     struct kwb_batches *batches); /* begins to try for the lease */
-void kwb_mover_finish(struct kwb_mover *mover);
-void kwb_mover_name(struct kwb_mover *mover, const char *model,
-    uint64_t version); /* a trainer has named a version */
-void kwb_mover_leave(struct kwb_mover *mover); /* gives the lease up */
-void kwb_mover_upstream(
-    struct kwb_mover *mover, struct kwb_upstream *upstream); /* listed */
-uint64_t kwb_mover_named(
-    const struct kwb_mover *mover, const char *model); /* 0 for none */
+void kwb_weight_updater_finish(struct kwb_weight_updater *mover);
+void kwb_weight_updater_announce(struct kwb_weight_updater *mover,
+    const char *model, uint64_t version); /* a trainer has named a version */
+void kwb_weight_updater_step_down(
+    struct kwb_weight_updater *mover); /* gives the lease up */
+void kwb_weight_updater_on_upstream(struct kwb_weight_updater *mover,
+    struct kwb_upstream *upstream); /* listed */
+uint64_t kwb_weight_updater_announced(
+    const struct kwb_weight_updater *mover, const char *model); /* 0 for none */
 
 /* ---- Node
  * ----------------------------------------------------------------------- */
@@ -1358,7 +1364,7 @@
 	struct kwb_parts parts;
 	struct kwb_batch_env batch_env;
 	struct kwb_batches batches;
-	struct kwb_mover mover;
+	struct kwb_weight_updater mover;
 	struct kwb_store_watch store_watch;
 	struct kwb_relay relay;
 	struct kwb_peers peers;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -68,7 +68,7 @@
 		    row->key);
 		return;
 	}
-	kwb_mover_name(&node->mover, model, version);
+	kwb_weight_updater_announce(&node->mover, model, version);
 }
 
 /*
@@ -119,7 +119,7 @@
 		kwb_log(KWB_LOG_INFO, "node",
 		    "event=upstream id=%s service=%s state=%s", status.id,
 		    status.service, status.draining ? "draining" : "ready");
-	kwb_mover_upstream(&node->mover, upstream);
+	kwb_weight_updater_on_upstream(&node->mover, upstream);
 	kwb_batches_kick(&node->batches);
 }
 
@@ -214,7 +214,7 @@
 
 	code = kwb_batches_init(&node->batches, &node->batch_env);
 	if (code == 0)
-		code = kwb_mover_init(
+		code = kwb_weight_updater_init(
 		    &node->mover, &node->batch_env, &node->batches);
 	if (code == 0)
 		code = kwb_store_watch_init(
@@ -303,7 +303,7 @@
 	kwb_log(KWB_LOG_INFO, "node", "event=stopping busy=%u grace_ms=%u",
 	    node->callers_busy, node->settings->grace_ms);
 	kwb_relay_stop(&node->relay);
-	kwb_mover_leave(&node->mover);
+	kwb_weight_updater_step_down(&node->mover);
 	kwb_batches_leave(&node->batches);
 }
 
@@ -322,7 +322,7 @@
 	kwb_store_watch_finish(&node->store_watch);
 	kwb_follower_finish(&node->operator_rows);
 	kwb_follower_finish(&node->upstream_rows);
-	kwb_mover_finish(&node->mover);
+	kwb_weight_updater_finish(&node->mover);
 	kwb_batches_finish(&node->batches);
 	event_free(node->timer);
 	kwb_client_finish(&node->client);
--- a/src/rollout/decide.c
+++ b/src/rollout/decide.c
@@ -13,11 +13,11 @@
  * fallen silent, and while little has been thrown away.
  */
 bool
-kwb_hedge_wanted(const struct kwb_hedge_input *input)
+kwb_hedge_is_due(const struct kwb_hedge_input *input)
 {
 	uint64_t silent_max_ns = SILENT_TOKENS * input->token_ns;
-	uint64_t waste_max =
-	    input->made_tokens * WASTE_PERCENT_MAX / 100 + WASTE_FLOOR_TOKENS;
+	uint64_t waste_max = input->generated_tokens * WASTE_PERCENT_MAX / 100 +
+	    WASTE_FLOOR_TOKENS;
 
 	if (input->unstarted > 0 || input->idle_units == 0)
 		return false;
@@ -31,7 +31,7 @@
 }
 
 bool
-kwb_sample_fresh(const struct kwb_sample_age *age)
+kwb_sample_is_fresh(const struct kwb_sample_age *age)
 {
 	return age->oldest_version + age->bound_versions >=
 	    age->trainer_version;
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -178,7 +178,7 @@
 		    : passed_ns;
 	}
 	if (generation->tokens.count > before)
-		step->made_tokens += generation->tokens.count - before;
+		step->generated_tokens += generation->tokens.count - before;
 	if (generation->state == GENERATION_DONE && !sample->delivered)
 		sample_done(step, sample);
 	if (generation->state != GENERATION_RUNNING)
@@ -230,7 +230,7 @@
 	};
 	uint32_t i;
 
-	if (!kwb_sample_fresh(&age))
+	if (!kwb_sample_is_fresh(&age))
 		return false;
 	for (i = 1; i < tokens->count && !step->plan.mixed_versions; i++)
 		if (tokens->version[i] != tokens->version[0])
@@ -291,7 +291,7 @@
 	struct kwb_hedge_input input = {
 	    .token_ns = step->token_ns,
 	    .wasted_tokens = step->wasted_tokens,
-	    .made_tokens = step->made_tokens,
+	    .generated_tokens = step->generated_tokens,
 	    .objective = step->plan.objective,
 	};
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -313,7 +313,7 @@
 		input.silent_ns = now_ns - generation->token_ns;
 		input.idle_units = peers_idle_units(
 		    step->entry, step->plan.name, generation->target.peer);
-		if (kwb_hedge_wanted(&input))
+		if (kwb_hedge_is_due(&input))
 			sample_move(step, sample);
 	}
 }
--- a/src/rollout/step.h
+++ b/src/rollout/step.h
@@ -37,7 +37,7 @@
 	uint32_t delivered_now;
 	uint32_t stale;
 	uint64_t wasted_tokens;
-	uint64_t made_tokens;
+	uint64_t generated_tokens;
 	uint64_t token_ns; /* usual time between tokens */
 	bool client_gone;
 	bool superseded;
--- a/src/upstream/pick.c
+++ b/src/upstream/pick.c
@@ -67,7 +67,7 @@
 	    kwb_upstream_version(upstream, pick->model) >= pick->min_version)
 		return true;
 	return upstream->in_flight == 0 &&
-	    pick->now_ns - upstream->loading_ns >= KWB_LOAD_LEAST_NS;
+	    pick->now_ns - upstream->loading_ns >= KWB_WEIGHT_LOAD_MIN_NS;
 }
 
 static bool
--- a/src/upstream/registry.c
+++ b/src/upstream/registry.c
@@ -173,7 +173,7 @@
 	return strcmp(upstream->home_model, model) == 0 &&
 	    upstream->expected_version >
 	    kwb_upstream_version(upstream, model) &&
-	    now_ns - upstream->loading_ns < KWB_LOAD_MOST_NS;
+	    now_ns - upstream->loading_ns < KWB_WEIGHT_LOAD_MAX_NS;
 }
 
 void
--- a/src/weights/homes.c
+++ b/src/weights/homes.c
@@ -1,8 +1,9 @@
 /*
  * Which model an upstream is kept current for. Every upstream holds all
  * models, but each change of version costs a load and a pause, so a model is
- * kept current only on its homes, as many as its share of the demand. Answers
- * a load of several trainers that each ask for a batch every few seconds.
+ * kept current only on its replicas, as many as its share of the demand.
+ * Answers a load of several trainers that each ask for a batch every few
+ * seconds.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +11,7 @@
 #include "kwb_node.h"
 
 static double
-demand_of(const struct kwb_home_model *models, uint32_t count, uint32_t at)
+demand_of(const struct kwb_model_demand *models, uint32_t count, uint32_t at)
 {
 	uint64_t sum = 0;
 	uint32_t known = 0;
@@ -31,7 +32,7 @@
  * goes to the model with the most demand a home.
  */
 static void
-shares(const struct kwb_home_model *models, uint32_t models_count,
+shares(const struct kwb_model_demand *models, uint32_t models_count,
     uint32_t upstreams_count, uint32_t *share)
 {
 	double best_need;
@@ -45,7 +46,8 @@
 		best = models_count;
 		best_need = -1;
 		for (i = 0; i < models_count; i++) {
-			if (models[i].most != 0 && share[i] >= models[i].most)
+			if (models[i].replicas_max != 0 &&
+			    share[i] >= models[i].replicas_max)
 				continue;
 			need = demand_of(models, models_count, i) /
 			    (share[i] + 0.5);
@@ -64,7 +66,7 @@
 
 static int
 model_index(
-    const struct kwb_home_model *models, uint32_t count, const char *name)
+    const struct kwb_model_demand *models, uint32_t count, const char *name)
 {
 	uint32_t i;
 
@@ -88,8 +90,9 @@
 }
 
 void
-kwb_homes_plan(struct kwb_home_upstream *upstreams, uint32_t upstreams_count,
-    const struct kwb_home_model *models, uint32_t models_count)
+kwb_replicas_assign(struct kwb_replica_assignment *upstreams,
+    uint32_t upstreams_count, const struct kwb_model_demand *models,
+    uint32_t models_count)
 {
 	uint32_t share[KWB_MODELS_MAX];
 	uint32_t have[KWB_MODELS_MAX] = {0};
@@ -135,24 +138,25 @@
 /*
  * A load takes an upstream away from its model for about a second, and only
  * some can load at once. With weights that are `lag` versions old a batch is
- * still served, so most homes are loaded while the batches before go on, some
- * at a time; the rest takes every other version, when it has to. So a batch
- * finds most homes ready as it comes.
+ * still served, so most replicas are loaded while the batches before go on,
+ * some at a time; the rest takes every other version, when it has to. So a
+ * batch finds most replicas ready as it comes.
  */
-enum kwb_load
-kwb_load_wanted(const struct kwb_load_input *input)
+enum kwb_weight_load_urgency
+kwb_weight_load_urgency(const struct kwb_weight_load_input *input)
 {
-	uint32_t part = input->homes / KWB_LOAD_HOMES_PART;
-	uint32_t ahead = input->homes * KWB_LOAD_AHEAD_PERCENT / 100;
+	uint32_t part = input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
+	uint32_t ahead = input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
 
 	if (input->version >= input->newest ||
 	    input->loading >= input->loading_max)
-		return KWB_LOAD_NO;
+		return KWB_WEIGHT_LOAD_NONE;
 	if (input->version + input->lag < input->newest ||
-	    (input->version < input->needed && input->homes_needed == 0))
-		return KWB_LOAD_NOW;
-	if (input->homes_newest < ahead &&
-	    input->homes_loading < (part > 0 ? part : 1) && input->serving > 1)
-		return KWB_LOAD_SOON;
-	return KWB_LOAD_NO;
+	    (input->version < input->needed && input->replicas_needed == 0))
+		return KWB_WEIGHT_LOAD_NOW;
+	if (input->replicas_newest < ahead &&
+	    input->replicas_loading < (part > 0 ? part : 1) &&
+	    input->serving > 1)
+		return KWB_WEIGHT_LOAD_AHEAD;
+	return KWB_WEIGHT_LOAD_NONE;
 }
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -15,16 +15,16 @@
 #define LEASE_NAME "weights"
 #define NO_MODEL "-" /* in a row: home of no model */
 
-static struct kwb_mover_upstream *
-upstream_find(const struct kwb_mover *mover, const char *id)
+static struct kwb_replica *
+upstream_find(const struct kwb_weight_updater *mover, const char *id)
 {
 	return kwb_index_get(&mover->index, id);
 }
 
-static struct kwb_mover_upstream *
-upstream_get(struct kwb_mover *mover, const char *id)
+static struct kwb_replica *
+upstream_get(struct kwb_weight_updater *mover, const char *id)
 {
-	struct kwb_mover_upstream *upstream = upstream_find(mover, id);
+	struct kwb_replica *upstream = upstream_find(mover, id);
 
 	if (upstream != NULL)
 		return upstream;
@@ -42,14 +42,15 @@
 }
 
 struct kwb_upstream *
-mover_listed(const struct kwb_mover *mover, const char *id)
+mover_listed(const struct kwb_weight_updater *mover, const char *id)
 {
 	return kwb_registry_find(mover->env->forward->registry, id);
 }
 
-/* What the homes' rows say goes to the registry, where requests look. */
+/* What the replicas' rows say goes to the registry, where requests look. */
 void
-mover_home_apply(struct kwb_mover *mover, const struct kwb_mover_upstream *home)
+mover_home_apply(
+    struct kwb_weight_updater *mover, const struct kwb_replica *home)
 {
 	struct kwb_upstream *upstream = mover_listed(mover, home->id);
 
@@ -59,10 +60,10 @@
 }
 
 void
-kwb_mover_upstream(struct kwb_mover *mover, struct kwb_upstream *upstream)
+kwb_weight_updater_on_upstream(
+    struct kwb_weight_updater *mover, struct kwb_upstream *upstream)
 {
-	struct kwb_mover_upstream *home =
-	    upstream_find(mover, upstream->status.id);
+	struct kwb_replica *home = upstream_find(mover, upstream->status.id);
 
 	if (home == NULL)
 		return;
@@ -75,8 +76,8 @@
 static void
 home_row(void *context, const struct kwb_row *row)
 {
-	struct kwb_mover *mover = context;
-	struct kwb_mover_upstream *home = upstream_get(mover, row->key);
+	struct kwb_weight_updater *mover = context;
+	struct kwb_replica *home = upstream_get(mover, row->key);
 	unsigned long long target = 0;
 
 	if (home == NULL || row->revision < home->revision)
@@ -99,7 +100,8 @@
 }
 
 uint64_t
-kwb_mover_named(const struct kwb_mover *mover, const char *model)
+kwb_weight_updater_announced(
+    const struct kwb_weight_updater *mover, const char *model)
 {
 	uint32_t i;
 
@@ -110,7 +112,8 @@
 }
 
 void
-kwb_mover_name(struct kwb_mover *mover, const char *model, uint64_t version)
+kwb_weight_updater_announce(
+    struct kwb_weight_updater *mover, const char *model, uint64_t version)
 {
 	uint32_t i;
 
@@ -139,9 +142,9 @@
 static void
 write_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_mover *mover = call->context;
+	struct kwb_weight_updater *mover = call->context;
 
-	struct kwb_mover_upstream *home;
+	struct kwb_replica *home;
 
 	mover->writing = false;
 	if (answer->error == 0) {
@@ -154,14 +157,14 @@
 		home->changed = home->model[0] != '\0';
 }
 
-/* Tells all nodes of the homes and of what has been ordered. */
+/* Tells all nodes of the replicas and of what has been ordered. */
 void
-mover_home_write(struct kwb_mover *mover)
+mover_home_write(struct kwb_weight_updater *mover)
 {
 	static struct kwb_tx tx;
 	static char values[KWB_TX_ROWS_MAX][KWB_NAME_MAX_BYTES + 24];
 	struct kwb_store *store = mover->env->store;
-	struct kwb_mover_upstream *home;
+	struct kwb_replica *home;
 
 	if (mover->writing || kwb_store_lease_fence(&mover->lease) == 0)
 		return;
@@ -184,7 +187,7 @@
 }
 
 static uint64_t
-demand_of(const struct kwb_mover *mover, const char *model)
+demand_of(const struct kwb_weight_updater *mover, const char *model)
 {
 	const struct kwb_batch_head *newest =
 	    kwb_batches_newest(mover->batches, model);
@@ -194,7 +197,8 @@
 
 /* Homes that the largest batch of a model can fill, twice over and a half. */
 static uint32_t
-homes_most(const struct kwb_mover *mover, const char *model, uint32_t slots)
+homes_most(
+    const struct kwb_weight_updater *mover, const char *model, uint32_t slots)
 {
 	const struct kwb_batch_head *head;
 	uint32_t items = 0;
@@ -207,16 +211,17 @@
 	}
 	if (items == 0 || slots == 0)
 		return 0;
-	return items * KWB_HOMES_PERCENT / 100 / slots + 1;
+	return items * KWB_REPLICA_SLOTS_PERCENT / 100 / slots + 1;
 }
 
 static void
-plan_service(struct kwb_mover *mover, const struct kwb_service *service)
+plan_service(
+    struct kwb_weight_updater *mover, const struct kwb_service *service)
 {
 	const struct kwb_registry *registry = mover->env->forward->registry;
-	struct kwb_home_model models[KWB_MODELS_MAX];
-	struct kwb_home_upstream *plan;
-	struct kwb_mover_upstream *home;
+	struct kwb_model_demand models[KWB_MODELS_MAX];
+	struct kwb_replica_assignment *plan;
+	struct kwb_replica *home;
 	struct kwb_upstream *upstream;
 	uint32_t models_count = service->models_count;
 	uint32_t count = 0;
@@ -230,7 +235,7 @@
 	for (i = 0; i < models_count; i++) {
 		models[i].name = service->models[i];
 		models[i].demand = demand_of(mover, service->models[i]);
-		models[i].most =
+		models[i].replicas_max =
 		    homes_most(mover, service->models[i], service->slots);
 	}
 	for (i = 0; i < registry->count; i++) {
@@ -245,7 +250,7 @@
 			    plan[count].model, KWB_NAME_MAX_BYTES, home->model);
 		count++;
 	}
-	kwb_homes_plan(plan, count, models, models_count);
+	kwb_replicas_assign(plan, count, models, models_count);
 	for (i = 0; i < count; i++) {
 		home = upstream_find(mover, plan[i].id);
 		if (home == NULL || strcmp(home->model, plan[i].model) == 0)
@@ -266,13 +271,13 @@
  */
 
 static void
-home_step(struct kwb_mover *mover, struct mover_look *look,
-    struct kwb_mover_upstream *home, const struct kwb_upstream *upstream,
-    enum kwb_load urgency)
+home_step(struct kwb_weight_updater *mover, struct mover_look *look,
+    struct kwb_replica *home, const struct kwb_upstream *upstream,
+    enum kwb_weight_load_urgency urgency)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	int at = mover_version_index(mover, home->model);
-	struct kwb_load_input *input;
+	struct kwb_weight_load_input *input;
 
 	if (home->ordered && now_ns >= home->look_ns) {
 		mover_report_start(home, upstream);
@@ -284,7 +289,7 @@
 	input->version = kwb_upstream_version(upstream, home->model);
 	input->loading = look->loading;
 	input->loading_max = mover_loading_max(look);
-	if (kwb_load_wanted(input) != urgency)
+	if (kwb_weight_load_urgency(input) != urgency)
 		return;
 	if (!home->seq_known) {
 		mover_report_start(home, upstream);
@@ -292,9 +297,9 @@
 	}
 	input->serving -=
 	    input->version + input->lag >= input->newest && input->serving > 0;
-	input->homes_loading++;
-	input->homes_newest++;
-	input->homes_needed++;
+	input->replicas_loading++;
+	input->replicas_newest++;
+	input->replicas_needed++;
 	look->loading++;
 	home->changed = true;
 	mover_order_start(home, upstream, input->newest);
@@ -302,11 +307,11 @@
 
 /* What a batch waits for goes before what is loaded ahead. */
 static void
-homes_step(
-    struct kwb_mover *mover, struct mover_look *look, enum kwb_load urgency)
+homes_step(struct kwb_weight_updater *mover, struct mover_look *look,
+    enum kwb_weight_load_urgency urgency)
 {
-	struct kwb_mover_upstream *home;
-	struct kwb_mover_upstream *next;
+	struct kwb_replica *home;
+	struct kwb_replica *next;
 	const struct kwb_upstream *upstream;
 
 	for (home = TAILQ_FIRST(&mover->upstreams); home != NULL; home = next) {
@@ -320,18 +325,18 @@
 }
 
 void
-mover_look_soon(struct kwb_mover *mover)
+mover_look_soon(struct kwb_weight_updater *mover)
 {
 	if (mover->look_soon)
 		return;
 	mover->look_soon = true;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_MOVER_SOON_NS);
+	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_UPDATER_DELAY_NS);
 }
 
 static void
 mover_time(int fd, short what, void *context)
 {
-	struct kwb_mover *mover = context;
+	struct kwb_weight_updater *mover = context;
 	const struct kwb_node_config *config = *mover->env->config;
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct mover_look look;
@@ -340,27 +345,27 @@
 	(void)fd;
 	(void)what;
 	mover->look_soon = false;
-	kwb_timer_at(mover->timer, now_ns + KWB_MOVER_NS);
-	if (config == NULL || !mover->homes.synced ||
+	kwb_timer_at(mover->timer, now_ns + KWB_UPDATER_PERIOD_NS);
+	if (config == NULL || !mover->replicas.synced ||
 	    kwb_store_lease_fence(&mover->lease) == 0)
 		return;
 	if (now_ns >= mover->plan_ns) {
-		mover->plan_ns = now_ns + KWB_PLAN_NS;
+		mover->plan_ns = now_ns + KWB_ASSIGN_PERIOD_NS;
 		for (i = 0; i < config->services_count; i++)
 			if (config->services[i].models_count > 0)
 				plan_service(mover, &config->services[i]);
 		mover_home_write(mover);
 	}
 	mover_look_at(mover, &look);
-	homes_step(mover, &look, KWB_LOAD_NOW);
-	homes_step(mover, &look, KWB_LOAD_SOON);
+	homes_step(mover, &look, KWB_WEIGHT_LOAD_NOW);
+	homes_step(mover, &look, KWB_WEIGHT_LOAD_AHEAD);
 }
 
 static void
 lease_changed(void *context)
 {
-	struct kwb_mover *mover = context;
-	struct kwb_mover_upstream *home;
+	struct kwb_weight_updater *mover = context;
+	struct kwb_replica *home;
 
 	/* Another holder may have ordered since: nothing is known. */
 	TAILQ_FOREACH (home, &mover->upstreams, entry) {
@@ -373,8 +378,8 @@
 }
 
 int
-kwb_mover_init(struct kwb_mover *mover, const struct kwb_batch_env *env,
-    struct kwb_batches *batches)
+kwb_weight_updater_init(struct kwb_weight_updater *mover,
+    const struct kwb_batch_env *env, struct kwb_batches *batches)
 {
 	int code;
 
@@ -385,8 +390,8 @@
 	mover->timer = kwb_timer_new(env->base, mover_time, mover);
 	if (mover->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_MOVER_NS);
-	code = kwb_follower_init(&mover->homes, env->base, env->store,
+	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_UPDATER_PERIOD_NS);
+	code = kwb_follower_init(&mover->replicas, env->base, env->store,
 	    TABLE_HOMES, home_row, NULL, mover);
 	if (code != 0)
 		return code;
@@ -397,20 +402,20 @@
 }
 
 void
-kwb_mover_leave(struct kwb_mover *mover)
+kwb_weight_updater_step_down(struct kwb_weight_updater *mover)
 {
 	kwb_store_lease_step_down(&mover->lease);
 }
 
 void
-kwb_mover_finish(struct kwb_mover *mover)
+kwb_weight_updater_finish(struct kwb_weight_updater *mover)
 {
-	struct kwb_mover_upstream *home;
-	struct kwb_mover_upstream *next;
+	struct kwb_replica *home;
+	struct kwb_replica *next;
 
 	kwb_store_cancel(mover->env->store, &mover->call);
 	kwb_store_lease_finish(&mover->lease);
-	kwb_follower_finish(&mover->homes);
+	kwb_follower_finish(&mover->replicas);
 	event_free(mover->timer);
 	kwb_index_finish(&mover->index);
 	for (home = TAILQ_FIRST(&mover->upstreams); home != NULL; home = next) {
--- a/src/weights/mover_look.c
+++ b/src/weights/mover_look.c
@@ -1,6 +1,6 @@
 /*
- * What the mover sees of all homes at one moment: which weights they have and
- * load, and what the batches ask for. Decides nothing.
+ * What the mover sees of all replicas at one moment: which weights they have
+ * and load, and what the batches ask for. Decides nothing.
  */
 #include <string.h>
 
@@ -8,19 +8,21 @@
 
 /* How old weights may be, as the trainer's newest batch says. */
 static uint64_t
-lag_of(const struct kwb_mover *mover, const char *model)
+lag_of(const struct kwb_weight_updater *mover, const char *model)
 {
 	const struct kwb_batch_head *newest =
 	    kwb_batches_newest(mover->batches, model);
 
 	if (newest == NULL || newest->step <= newest->min_version)
-		return newest != NULL && newest->step > 1 ? 0 : KWB_LAG_USUAL;
+		return newest != NULL && newest->step > 1
+		    ? 0
+		    : KWB_LAG_DEFAULT_VERSIONS;
 	return newest->step - newest->min_version;
 }
 
 /* The newest version that an open batch asks for, 0 for none. */
 static uint64_t
-needed_by(const struct kwb_mover *mover, const char *model)
+needed_by(const struct kwb_weight_updater *mover, const char *model)
 {
 	const struct kwb_batch_head *head;
 	uint64_t needed = 0;
@@ -37,14 +39,14 @@
 }
 
 static bool
-is_loading(const struct kwb_mover_upstream *home, uint64_t now_ns)
+is_loading(const struct kwb_replica *home, uint64_t now_ns)
 {
 	return home->ordering ||
-	    (home->ordered && now_ns - home->ordered_ns < KWB_LOAD_NS);
+	    (home->ordered && now_ns - home->ordered_ns < KWB_WEIGHT_LOAD_NS);
 }
 
 int
-mover_version_index(const struct kwb_mover *mover, const char *model)
+mover_version_index(const struct kwb_weight_updater *mover, const char *model)
 {
 	uint32_t i;
 
@@ -55,11 +57,11 @@
 }
 
 void
-mover_look_at(const struct kwb_mover *mover, struct mover_look *look)
+mover_look_at(const struct kwb_weight_updater *mover, struct mover_look *look)
 {
-	const struct kwb_mover_upstream *home;
+	const struct kwb_replica *home;
 	const struct kwb_upstream *upstream;
-	struct kwb_load_input *input;
+	struct kwb_weight_load_input *input;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t version;
 	bool loading;
@@ -85,11 +87,11 @@
 			continue;
 		input = &look->models[at];
 		version = kwb_upstream_version(upstream, home->model);
-		input->homes++;
-		input->homes_loading += loading;
-		input->homes_newest += version >= input->newest ||
+		input->replicas++;
+		input->replicas_loading += loading;
+		input->replicas_newest += version >= input->newest ||
 		    (loading && home->target >= input->newest);
-		input->homes_needed += version >= input->needed ||
+		input->replicas_needed += version >= input->needed ||
 		    (loading && home->target >= input->needed);
 		input->serving +=
 		    !loading && version + input->lag >= input->newest;
@@ -99,7 +101,7 @@
 uint32_t
 mover_loading_max(const struct mover_look *look)
 {
-	uint32_t most = look->upstreams / KWB_LOADS_PART;
+	uint32_t most = look->upstreams / KWB_WEIGHT_LOADS_DIVISOR;
 
-	return most < KWB_LOADS_MIN ? KWB_LOADS_MIN : most;
+	return most < KWB_WEIGHT_LOADS_MIN ? KWB_WEIGHT_LOADS_MIN : most;
 }
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -9,7 +9,7 @@
 #include "mover.h"
 
 void
-mover_exchange_close(struct kwb_mover_upstream *home)
+mover_exchange_close(struct kwb_replica *home)
 {
 	if (home->asking || home->ordering)
 		kwb_exchange_finish(&home->exchange);
@@ -19,9 +19,9 @@
 
 /* The state as asked for: how many orders, and which weights are there. */
 static void
-report_done(struct kwb_mover_upstream *home, const struct kwb_message *message)
+report_done(struct kwb_replica *home, const struct kwb_message *message)
 {
-	struct kwb_mover *mover = home->mover;
+	struct kwb_weight_updater *mover = home->mover;
 	struct kwb_upstream *upstream = mover_listed(mover, home->id);
 	struct kwb_upstream_report report;
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -40,14 +40,15 @@
 	if (!report.busy ||
 	    kwb_upstream_version(upstream, home->model) >= home->target)
 		home->ordered = false;
-	home->busy_until_ns = report.busy ? now_ns + KWB_LOAD_LOOK_NS : now_ns;
-	home->look_ns = now_ns + KWB_LOAD_LOOK_NS;
+	home->busy_until_ns =
+	    report.busy ? now_ns + KWB_WEIGHT_LOAD_RECHECK_NS : now_ns;
+	home->look_ns = now_ns + KWB_WEIGHT_LOAD_RECHECK_NS;
 }
 
 static void
-order_done(struct kwb_mover_upstream *home, const struct kwb_message *message)
+order_done(struct kwb_replica *home, const struct kwb_message *message)
 {
-	struct kwb_mover *mover = home->mover;
+	struct kwb_weight_updater *mover = home->mover;
 	struct kwb_upstream *upstream = mover_listed(mover, home->id);
 	uint64_t now_ns = kwb_clock_now_ns();
 
@@ -60,8 +61,8 @@
 		home->order_seq++;
 		home->ordered = true;
 		home->ordered_ns = now_ns;
-		home->busy_until_ns = now_ns + KWB_LOAD_SEEN_NS;
-		home->look_ns = now_ns + KWB_LOAD_SEEN_NS;
+		home->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
+		home->look_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
 		mover_home_apply(mover, home);
 		mover_home_write(mover);
 		kwb_batches_reconsider(mover->batches);
@@ -81,13 +82,13 @@
 	}
 	home->seq_known = false;
 	home->ordered = false;
-	home->busy_until_ns = now_ns + KWB_LOAD_RETRY_NS;
+	home->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_RETRY_NS;
 }
 
 static void
 exchange_done(struct kwb_exchange *exchange, int error)
 {
-	struct kwb_mover_upstream *home = exchange->context;
+	struct kwb_replica *home = exchange->context;
 	bool ordering = home->ordering;
 	struct kwb_message answer = exchange->answer;
 
@@ -98,7 +99,8 @@
 		    ordering ? "order_in_doubt" : "no_report", home->id,
 		    kwb_error_name(error));
 		home->seq_known = false;
-		home->busy_until_ns = kwb_clock_now_ns() + KWB_LOAD_RETRY_NS;
+		home->busy_until_ns =
+		    kwb_clock_now_ns() + KWB_WEIGHT_LOAD_RETRY_NS;
 	} else if (ordering) {
 		order_done(home, &answer);
 	} else {
@@ -113,8 +115,8 @@
 };
 
 static void
-exchange_open(struct kwb_mover_upstream *home,
-    const struct kwb_upstream *upstream, struct evbuffer *out)
+exchange_open(struct kwb_replica *home, const struct kwb_upstream *upstream,
+    struct evbuffer *out)
 {
 	memset(&home->exchange, 0, sizeof(home->exchange));
 	home->exchange.ops = &exchange_ops;
@@ -127,14 +129,15 @@
 		home->asking = false;
 		home->ordering = false;
 		home->seq_known = false;
-		home->busy_until_ns = kwb_clock_now_ns() + KWB_LOAD_RETRY_NS;
+		home->busy_until_ns =
+		    kwb_clock_now_ns() + KWB_WEIGHT_LOAD_RETRY_NS;
 	}
 	evbuffer_free(out);
 }
 
 void
 mover_report_start(
-    struct kwb_mover_upstream *home, const struct kwb_upstream *upstream)
+    struct kwb_replica *home, const struct kwb_upstream *upstream)
 {
 	struct evbuffer *out = evbuffer_new();
 
@@ -145,10 +148,10 @@
 }
 
 void
-mover_order_start(struct kwb_mover_upstream *home,
-    const struct kwb_upstream *upstream, uint64_t version)
+mover_order_start(struct kwb_replica *home, const struct kwb_upstream *upstream,
+    uint64_t version)
 {
-	struct kwb_mover *mover = home->mover;
+	struct kwb_weight_updater *mover = home->mover;
 	struct kwb_order order = {.model = home->model,
 	    .version = version,
 	    .holder = mover->env->settings->node,
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -455,7 +455,7 @@
  * ----------------------------------------------------------- */
 
 static unsigned
-homes_of(const struct kwb_home_upstream *upstreams, unsigned count,
+homes_of(const struct kwb_replica_assignment *upstreams, unsigned count,
     const char *model)
 {
 	unsigned found = 0;
@@ -469,9 +469,9 @@
 static void
 test_homes(void)
 {
-	struct kwb_home_upstream upstreams[9];
-	struct kwb_home_upstream before[9];
-	struct kwb_home_model models[] = {
+	struct kwb_replica_assignment upstreams[9];
+	struct kwb_replica_assignment before[9];
+	struct kwb_model_demand models[] = {
 	    {"a", 100, 0}, {"b", 200, 0}, {"c", 0, 0}};
 	static const char *const ids[] = {
 	    "1", "2", "3", "4", "5", "6", "7", "8", "9"};
@@ -481,39 +481,41 @@
 	memset(upstreams, 0, sizeof(upstreams));
 	for (i = 0; i < 9; i++)
 		upstreams[i].id = ids[i];
-	kwb_homes_plan(upstreams, 9, models, 3);
+	kwb_replicas_assign(upstreams, 9, models, 3);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "a"), 2);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 4);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "c"), 3);
 	/* The same again moves nothing. */
 	memcpy(before, upstreams, sizeof(before));
-	kwb_homes_plan(upstreams, 9, models, 3);
+	kwb_replicas_assign(upstreams, 9, models, 3);
 	CU_ASSERT_EQUAL(memcmp(before, upstreams, sizeof(before)), 0);
 	/* One less: at most one moves. */
-	kwb_homes_plan(upstreams, 8, models, 3);
+	kwb_replicas_assign(upstreams, 8, models, 3);
 	for (i = 0; i < 8; i++)
 		moved += strcmp(before[i].model, upstreams[i].model) != 0;
 	CU_ASSERT(moved <= 1);
 	/* Fewer upstreams than models: each still has a model. */
 	memset(upstreams, 0, sizeof(upstreams));
-	kwb_homes_plan(upstreams, 2, models, 3);
+	kwb_replicas_assign(upstreams, 2, models, 3);
 	CU_ASSERT(upstreams[0].model[0] != '\0');
 	CU_ASSERT(upstreams[1].model[0] != '\0');
-	/* No more homes than a model's batches can fill; the others rest. */
+	/* No more replicas than a model's batches can fill; the others rest. */
 	memset(upstreams, 0, sizeof(upstreams));
-	models[0].most = models[1].most = models[2].most = 2;
-	kwb_homes_plan(upstreams, 9, models, 3);
+	models[0].replicas_max = models[1].replicas_max =
+	    models[2].replicas_max = 2;
+	kwb_replicas_assign(upstreams, 9, models, 3);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "a"), 2);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 2);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, ""), 3);
-	models[1].most = 1;
-	kwb_homes_plan(upstreams, 9, models, 3);
+	models[1].replicas_max = 1;
+	kwb_replicas_assign(upstreams, 9, models, 3);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 1);
 	CU_ASSERT_EQUAL(homes_of(upstreams, 9, ""), 4);
-	models[0].most = models[1].most = models[2].most = 0;
+	models[0].replicas_max = models[1].replicas_max =
+	    models[2].replicas_max = 0;
 	/* A model that is no longer there. */
 	kwb_text_copy(upstreams[0].model, KWB_NAME_MAX_BYTES, "gone");
-	kwb_homes_plan(upstreams, 1, models, 3);
+	kwb_replicas_assign(upstreams, 1, models, 3);
 	CU_ASSERT_STRING_NOT_EQUAL(upstreams[0].model, "gone");
 }
 
@@ -522,89 +524,89 @@
 {
 	static const struct {
 		const char *name;
-		struct kwb_load_input input;
-		enum kwb_load wanted;
+		struct kwb_weight_load_input input;
+		enum kwb_weight_load_urgency wanted;
 	} cases[] = {
 	    {"newest",
 		{.version = 5,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
+		    .replicas = 4,
 		    .serving = 4,
 		    .loading_max = 2},
-		KWB_LOAD_NO},
+		KWB_WEIGHT_LOAD_NONE},
 	    {"one behind, none newest yet",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
+		    .replicas = 4,
 		    .serving = 4,
 		    .loading_max = 2},
-		KWB_LOAD_SOON},
+		KWB_WEIGHT_LOAD_AHEAD},
 	    {"one behind, most are newest",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
-		    .homes_newest = 3,
+		    .replicas = 4,
+		    .replicas_newest = 3,
 		    .serving = 4,
 		    .loading_max = 2},
-		KWB_LOAD_NO},
+		KWB_WEIGHT_LOAD_NONE},
 	    {"the only one that serves",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
+		    .replicas = 4,
 		    .serving = 1,
 		    .loading_max = 2},
-		KWB_LOAD_NO},
+		KWB_WEIGHT_LOAD_NONE},
 	    {"of no use any more",
 		{.version = 3,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
-		    .homes_newest = 4,
+		    .replicas = 4,
+		    .replicas_newest = 4,
 		    .loading_max = 2},
-		KWB_LOAD_NOW},
+		KWB_WEIGHT_LOAD_NOW},
 	    {"the only one, and a batch that is open can't use it",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
 		    .needed = 5,
-		    .homes = 1,
+		    .replicas = 1,
 		    .loading_max = 2},
-		KWB_LOAD_NOW},
+		KWB_WEIGHT_LOAD_NOW},
 	    {"another one has what the open batch needs",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
 		    .needed = 5,
-		    .homes = 2,
-		    .homes_newest = 1,
-		    .homes_needed = 1,
+		    .replicas = 2,
+		    .replicas_newest = 1,
+		    .replicas_needed = 1,
 		    .serving = 2,
 		    .loading_max = 2},
-		KWB_LOAD_NO},
+		KWB_WEIGHT_LOAD_NONE},
 	    {"too many load",
 		{.version = 3,
 		    .newest = 5,
 		    .lag = 1,
-		    .homes = 4,
+		    .replicas = 4,
 		    .loading = 2,
 		    .loading_max = 2},
-		KWB_LOAD_NO},
+		KWB_WEIGHT_LOAD_NONE},
 	    {"no lag allowed",
 		{.version = 4,
 		    .newest = 5,
-		    .homes = 4,
-		    .homes_newest = 3,
+		    .replicas = 4,
+		    .replicas_newest = 3,
 		    .loading_max = 2},
-		KWB_LOAD_NOW},
+		KWB_WEIGHT_LOAD_NOW},
 	};
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_load_wanted(&cases[i].input) != cases[i].wanted)
+		if (kwb_weight_load_urgency(&cases[i].input) != cases[i].wanted)
 			CU_FAIL(cases[i].name);
 }
 
@@ -619,18 +621,19 @@
 	uint64_t version[PLAY_MODELS * PLAY_HOMES];
 	unsigned until[PLAY_MODELS * PLAY_HOMES]; /* end of the load */
 	unsigned loading;
-	unsigned served; /* homes ready, summed over early ticks */
+	unsigned served; /* replicas ready, summed over early ticks */
 	unsigned early;	 /* such ticks */
 };
 
 static void
-play_model(
-    struct play *play, unsigned model, unsigned tick, enum kwb_load urgency)
+play_model(struct play *play, unsigned model, unsigned tick,
+    enum kwb_weight_load_urgency urgency)
 {
 	unsigned shifted = tick + model * PLAY_PERIOD / PLAY_MODELS;
-	struct kwb_load_input input = {.newest = 1 + shifted / PLAY_PERIOD,
+	struct kwb_weight_load_input input = {
+	    .newest = 1 + shifted / PLAY_PERIOD,
 	    .lag = 1,
-	    .homes = PLAY_HOMES,
+	    .replicas = PLAY_HOMES,
 	    .loading_max = PLAY_MOST};
 	unsigned first = model * PLAY_HOMES;
 	unsigned i;
@@ -638,12 +641,12 @@
 	for (i = first; i < first + PLAY_HOMES; i++) {
 		bool loading = play->until[i] > tick;
 
-		input.homes_loading += loading;
-		input.homes_newest += play->version[i] >= input.newest;
+		input.replicas_loading += loading;
+		input.replicas_newest += play->version[i] >= input.newest;
 		input.serving +=
 		    !loading && play->version[i] + 1 >= input.newest;
 	}
-	if (urgency == KWB_LOAD_NOW && tick > 500 &&
+	if (urgency == KWB_WEIGHT_LOAD_NOW && tick > 500 &&
 	    shifted % PLAY_PERIOD < PLAY_EARLY) {
 		play->served += input.serving;
 		play->early++;
@@ -651,19 +654,20 @@
 	for (i = first; i < first + PLAY_HOMES; i++) {
 		input.version = play->version[i];
 		input.loading = play->loading;
-		if (play->until[i] > tick || kwb_load_wanted(&input) != urgency)
+		if (play->until[i] > tick ||
+		    kwb_weight_load_urgency(&input) != urgency)
 			continue;
 		play->version[i] = input.newest;
 		play->until[i] = tick + PLAY_LOAD;
 		play->loading++;
-		input.homes_loading++;
-		input.homes_newest++;
+		input.replicas_loading++;
+		input.replicas_newest++;
 	}
 }
 
 /*
- * Three trainers that name a version every 4 s, 14 homes each; the part of a
- * model's homes that a batch finds ready while it places its items. The
+ * Three trainers that name a version every 4 s, 14 replicas each; the part of a
+ * model's replicas that a batch finds ready while it places its items. The
  * baseline loads a home only when it must.
  */
 static double
@@ -682,9 +686,9 @@
 		for (i = 0; i < PLAY_MODELS * PLAY_HOMES; i++)
 			play.loading += play.until[i] > tick;
 		for (model = 0; model < PLAY_MODELS; model++)
-			play_model(&play, model, tick, KWB_LOAD_NOW);
+			play_model(&play, model, tick, KWB_WEIGHT_LOAD_NOW);
 		for (model = 0; model < PLAY_MODELS && !baseline; model++)
-			play_model(&play, model, tick, KWB_LOAD_SOON);
+			play_model(&play, model, tick, KWB_WEIGHT_LOAD_AHEAD);
 	}
 	return (double)play.served / play.early / PLAY_HOMES;
 }
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -228,7 +228,7 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_sample_fresh(&cases[i].age), cases[i].fresh);
+		    kwb_sample_is_fresh(&cases[i].age), cases[i].fresh);
 }
 
 static void
@@ -237,21 +237,21 @@
 	static const struct kwb_hedge_input usual = {.idle_units = 1,
 	    .silent_ns = 2000 * KWB_MS_NS,
 	    .token_ns = 3 * KWB_MS_NS,
-	    .made_tokens = 1000};
+	    .generated_tokens = 1000};
 	struct kwb_hedge_input input = usual;
 
-	CU_ASSERT(kwb_hedge_wanted(&input));
+	CU_ASSERT(kwb_hedge_is_due(&input));
 	input.unstarted = 1;
-	CU_ASSERT_FALSE(kwb_hedge_wanted(&input));
+	CU_ASSERT_FALSE(kwb_hedge_is_due(&input));
 	input = usual;
 	input.idle_units = 0;
-	CU_ASSERT_FALSE(kwb_hedge_wanted(&input));
+	CU_ASSERT_FALSE(kwb_hedge_is_due(&input));
 	input = usual;
 	input.silent_ns = 100 * KWB_MS_NS;
-	CU_ASSERT_FALSE(kwb_hedge_wanted(&input));
+	CU_ASSERT_FALSE(kwb_hedge_is_due(&input));
 	input = usual;
 	input.wasted_tokens = 1000;
-	CU_ASSERT_FALSE(kwb_hedge_wanted(&input));
+	CU_ASSERT_FALSE(kwb_hedge_is_due(&input));
 }
 
 static void
