--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -190,32 +190,29 @@
 #define KWB_TRIP_FAILURES 3
 
 /* Weights */
-#define KWB_LEASE_MS 6000
+#define KWB_LEASE_MS 6000 /* lost when not renewed */
 #define KWB_LEASE_RENEW_NS (2000 * KWB_MS_NS)
-#define KWB_WEIGHTS_POLL_NS (500 * KWB_MS_NS)
-#define KWB_SWAP_TIMEOUT_MS 15000
-#define KWB_UPDATER_PERIOD_NS                                                  \
-	(100 * KWB_MS_NS) /* between looks at what to order */
-#define KWB_UPDATER_DELAY_NS (10 * KWB_MS_NS)	/* answers come together */
-#define KWB_ASSIGN_PERIOD_NS (1000 * KWB_MS_NS) /* between plans of homes */
-#define KWB_WEIGHT_LOAD_NS (900 * KWB_MS_NS) /* a load takes, while few load   \
-					      */
-#define KWB_WEIGHT_LOAD_CHECK_NS                                               \
-	(1120 * KWB_MS_NS) /* and is in reports, which lag */
-#define KWB_WEIGHT_LOAD_RECHECK_NS                                             \
-	(150 * KWB_MS_NS) /* between questions after that */
-#define KWB_WEIGHT_LOAD_RETRY_NS (500 * KWB_MS_NS) /* after a refused order */
-#define KWB_REPLICA_SLOTS_PERCENT                                              \
-	250 /* two batches are open, and some homes load */
-#define KWB_WEIGHT_LOAD_AHEAD_PERCENT 80 /* homes loaded before they must be   \
-					  */
-#define KWB_WEIGHT_LOAD_AHEAD_DIVISOR                                          \
-	4 /* a quarter of a model's homes at a time */
-#define KWB_WEIGHT_LOAD_MIN_NS (700 * KWB_MS_NS)  /* no load is done before */
-#define KWB_WEIGHT_LOAD_MAX_NS (3000 * KWB_MS_NS) /* an order may be lost */
-#define KWB_LAG_DEFAULT_VERSIONS 1 /* versions, before a batch has said it */
-#define KWB_WEIGHT_LOADS_MIN 2 /* loads at once; more slow each other down */
-#define KWB_WEIGHT_LOADS_DIVISOR 5 /* one in so many upstreams of a service */
-#define KWB_ORDER_TIMEOUT_MS 1000
+#define KWB_WEIGHTS_POLL_NS (500 * KWB_MS_NS)	/* for the newest version */
+#define KWB_SWAP_TIMEOUT_MS 15000		/* of an engine's swap */
+#define KWB_UPDATER_PERIOD_NS (100 * KWB_MS_NS) /* between checks for loads */
+#define KWB_UPDATER_DELAY_NS (10 * KWB_MS_NS)	/* one check for many answers */
+#define KWB_ASSIGN_PERIOD_NS (1000 * KWB_MS_NS) /* models to upstreams */
+#define KWB_WEIGHT_LOAD_NS (900 * KWB_MS_NS)	/* usual time while few load */
+/* First status check of a load: its usual time and the delay of reports. */
+#define KWB_WEIGHT_LOAD_CHECK_NS (1120 * KWB_MS_NS)
+#define KWB_WEIGHT_LOAD_RECHECK_NS (150 * KWB_MS_NS) /* later checks */
+#define KWB_WEIGHT_LOAD_RETRY_NS (500 * KWB_MS_NS)   /* after a refused order */
+/* Of the slots that a model's largest batch fills: its trainer keeps two
+ * batches open, and some replicas are loading. */
+#define KWB_REPLICA_SLOTS_PERCENT 250
+/* Of a model's replicas, loaded before batches need the new version. */
+#define KWB_WEIGHT_LOAD_AHEAD_PERCENT 80
+#define KWB_WEIGHT_LOAD_AHEAD_DIVISOR 4 /* a quarter of replicas at a time */
+#define KWB_WEIGHT_LOAD_MIN_NS (700 * KWB_MS_NS)  /* no load takes less */
+#define KWB_WEIGHT_LOAD_MAX_NS (3000 * KWB_MS_NS) /* then the order is lost */
+#define KWB_LAG_DEFAULT_VERSIONS 1 /* until a batch shows what it allows */
+#define KWB_WEIGHT_LOADS_MIN 2	   /* at once; more slow each other down */
+#define KWB_WEIGHT_LOADS_DIVISOR 5 /* a fifth of the upstreams at once */
+#define KWB_ORDER_TIMEOUT_MS 1000  /* of an order or a status request */
 
 #endif
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1241,67 +1241,69 @@
 void kwb_read_start(struct kwb_read *read);  /* on_done follows */
 void kwb_read_finish(struct kwb_read *read); /* no callback after */
 
-/* ---- Weights: replicas of models and orders
- * ------------------------------------
+/* ---- Weights: assignment of models to upstreams, orders to load versions ----
+ * Every upstream can hold all models, but only its assigned model is kept
+ * current there: the upstream is a replica of that model. The weight updater
+ * plans the assignments and orders replicas to load the versions that trainers
+ * announce.
  */
 
 struct kwb_replica_assignment {
-	const char *id;
-	char model[KWB_NAME_MAX_BYTES]; /* current home, "" for none */
+	const char *id;			/* of the upstream */
+	char model[KWB_NAME_MAX_BYTES]; /* assigned model, "" for none */
 };
 
 struct kwb_model_demand {
 	const char *name;
-	uint64_t demand; /* tokens of its newest batch, 0 unknown */
-	uint32_t
-	    replicas_max; /* replicas that its batches can fill, 0 unknown */
+	uint64_t demand_tokens; /* tokens of its newest batch, 0 unknown */
+	uint32_t replicas_max;	/* that its batches can fill, 0 unknown */
 };
 
 void kwb_replicas_assign(struct kwb_replica_assignment *upstreams,
     uint32_t upstreams_count, const struct kwb_model_demand *models,
-    uint32_t
-	models_count); /* assigns replicas, moving as few as it can; pure */
+    uint32_t models_count); /* by demand, with few reassignments; pure */
 
-/* What decides whether an upstream gets new weights now. */
+/* What decides whether a replica loads the newest weights now. */
 struct kwb_weight_load_input {
-	uint64_t version;  /* it has */
-	uint64_t newest;   /* version that is named */
-	uint64_t lag;	   /* versions that a batch's weights may be behind */
-	uint64_t needed;   /* by a batch that is open; 0 for none */
-	uint32_t replicas; /* of the model */
-	uint32_t replicas_newest; /* that have the newest version, or load it */
-	uint32_t replicas_needed; /* that have the needed one, or load it */
+	uint64_t version;	   /* that the replica has */
+	uint64_t newest;	   /* newest version announced */
+	uint64_t lag;		   /* versions that weights may be behind it */
+	uint64_t needed;	   /* highest minimum of open batches, or 0 */
+	uint32_t replicas;	   /* of the model */
+	uint32_t replicas_newest;  /* that have or load the newest version */
+	uint32_t replicas_needed;  /* that have or load the needed version */
 	uint32_t replicas_loading; /* of the model */
-	uint32_t serving; /* replicas whose weights fit and that don't load */
-	uint32_t loading; /* upstreams of the service that load */
-	uint32_t loading_max;
+	uint32_t serving;     /* replicas not loading, at most `lag` behind */
+	uint32_t loading;     /* upstreams that load, of all models */
+	uint32_t loading_max; /* upstreams that may load at once */
 };
 
 enum kwb_weight_load_urgency {
 	KWB_WEIGHT_LOAD_NONE,
-	KWB_WEIGHT_LOAD_AHEAD, /* to keep the replicas out of phase */
-	KWB_WEIGHT_LOAD_NOW    /* the next batch has no use for it as it is */
+	KWB_WEIGHT_LOAD_AHEAD, /* early, so that loads are spread over time */
+	KWB_WEIGHT_LOAD_NOW    /* batches can't use the version it has */
 };
 
 enum kwb_weight_load_urgency kwb_weight_load_urgency(
-    const struct kwb_weight_load_input *input); /* pure */
+    const struct kwb_weight_load_input *input); /* how urgent a load is; pure */
 
+/* An upstream as the weight updater manages it. */
 struct kwb_replica {
-	char id[KWB_NAME_MAX_BYTES];
-	char model[KWB_NAME_MAX_BYTES];
-	uint64_t target; /* version ordered or named in its row */
-	uint64_t revision;
-	uint64_t order_seq; /* as last reported */
-	bool seq_known;
-	uint64_t busy_until_ns; /* an order may be in progress until then */
-	uint64_t ordered_ns;	/* when the last order was accepted */
-	uint64_t look_ns;	/* when to ask for its state */
-	bool ordered;		/* waits for the order to complete */
-	bool changed;		/* its row is to be written */
+	char id[KWB_NAME_MAX_BYTES];	/* of the upstream */
+	char model[KWB_NAME_MAX_BYTES]; /* assigned model, "" for none */
+	uint64_t target_version;	/* last ordered, or read from its row */
+	uint64_t revision;		/* of its row */
+	uint64_t order_seq; /* orders that the upstream has accepted */
+	bool order_seq_known;
+	uint64_t busy_until_ns;	    /* no new order before */
+	uint64_t order_accepted_ns; /* when the last order was accepted */
+	uint64_t check_ns;	    /* when to read the upstream's state */
+	bool load_pending; /* an accepted order, not yet seen to be done */
+	bool row_changed;  /* its row has to be written */
 	struct kwb_exchange exchange;
-	bool asking; /* exchange in progress: a question */
-	bool ordering;
-	struct kwb_weight_updater *mover;
+	bool report_pending; /* the exchange reads the upstream's state */
+	bool order_pending;  /* the exchange carries an order */
+	struct kwb_weight_updater *updater;
 	TAILQ_ENTRY(kwb_replica) entry;
 };
 
@@ -1315,31 +1317,31 @@
 struct kwb_weight_updater {
 	const struct kwb_batch_env *env;
 	struct kwb_batches *batches;
-	struct kwb_store_lease lease;
-	struct kwb_follower replicas;
-	struct kwb_store_call call;
+	struct kwb_store_lease lease; /* only its holder assigns and orders */
+	struct kwb_follower rows;     /* assignments, as the store has them */
+	struct kwb_store_call write;  /* of changed rows */
 	struct event *timer;
-	struct kwb_replica_list upstreams;
-	struct kwb_index index; /* of them, by id */
-	struct kwb_model_version versions[KWB_MODELS_MAX];
+	struct kwb_replica_list replicas;
+	struct kwb_index index; /* of replicas by id */
+	struct kwb_model_version versions[KWB_MODELS_MAX]; /* announced */
 	uint32_t versions_count;
-	uint64_t plan_ns; /* when replicas are planned again */
-	bool look_soon;	  /* the timer is armed for answers */
-	bool writing;
+	uint64_t assign_ns; /* when models are assigned again */
+	bool check_armed;   /* the timer is set for an early check */
+	bool write_pending;
 };
 
-int kwb_weight_updater_init(struct kwb_weight_updater *mover,
+int kwb_weight_updater_init(struct kwb_weight_updater *updater,
     const struct kwb_batch_env *env,
-    struct kwb_batches *batches); /* begins to try for the lease */
-void kwb_weight_updater_finish(struct kwb_weight_updater *mover);
-void kwb_weight_updater_announce(struct kwb_weight_updater *mover,
-    const char *model, uint64_t version); /* a trainer has named a version */
+    struct kwb_batches *batches); /* tries for the lease; 0 or an error */
+void kwb_weight_updater_finish(struct kwb_weight_updater *updater);
+void kwb_weight_updater_announce(struct kwb_weight_updater *updater,
+    const char *model, uint64_t version); /* a trainer published a version */
 void kwb_weight_updater_step_down(
-    struct kwb_weight_updater *mover); /* gives the lease up */
-void kwb_weight_updater_on_upstream(struct kwb_weight_updater *mover,
-    struct kwb_upstream *upstream); /* listed */
-uint64_t kwb_weight_updater_announced(
-    const struct kwb_weight_updater *mover, const char *model); /* 0 for none */
+    struct kwb_weight_updater *updater); /* releases the lease */
+void kwb_weight_updater_on_upstream(struct kwb_weight_updater *updater,
+    struct kwb_upstream *upstream); /* it was listed or its status changed */
+uint64_t kwb_weight_updater_announced(const struct kwb_weight_updater *updater,
+    const char *model); /* newest version announced, 0 for none */
 
 /* ---- Node
  * ----------------------------------------------------------------------- */
--- a/src/weights/homes.c
+++ b/src/weights/homes.c
@@ -1,65 +1,67 @@
 /*
- * Which model an upstream is kept current for. Every upstream holds all
- * models, but each change of version costs a load and a pause, so a model is
- * kept current only on its replicas, as many as its share of the demand.
- * Answers a load of several trainers that each ask for a batch every few
- * seconds.
+ * Assignment of models to upstreams, and when a replica loads new weights.
+ * Every upstream holds all models, but each new version costs a load and a
+ * pause. So a model is kept current only on its replicas, the upstreams that
+ * are assigned to it, in proportion to its demand. Meant for several trainers
+ * that each submit a batch every few seconds.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "kwb_node.h"
 
+/* The model's demand, or the mean of the known ones when it is unknown. */
 static double
-demand_of(const struct kwb_model_demand *models, uint32_t count, uint32_t at)
+model_demand(
+    const struct kwb_model_demand *models, uint32_t count, uint32_t index)
 {
 	uint64_t sum = 0;
 	uint32_t known = 0;
 	uint32_t i;
 
-	if (models[at].demand != 0)
-		return (double)models[at].demand;
+	if (models[index].demand_tokens != 0)
+		return (double)models[index].demand_tokens;
 	for (i = 0; i < count; i++)
-		if (models[i].demand != 0) {
-			sum += models[i].demand;
+		if (models[i].demand_tokens != 0) {
+			sum += models[i].demand_tokens;
 			known++;
 		}
 	return known > 0 ? (double)sum / known : 1.0;
 }
 
 /*
- * Shares by demand, at least one each while there are enough: every next home
- * goes to the model with the most demand a home.
+ * Divides the upstreams among the models: each next replica goes to the model
+ * with the highest demand per replica, but first every model gets one.
  */
 static void
-shares(const struct kwb_model_demand *models, uint32_t models_count,
+divide_upstreams(const struct kwb_model_demand *models, uint32_t models_count,
     uint32_t upstreams_count, uint32_t *share)
 {
-	double best_need;
-	double need;
+	double best_per_replica;
+	double per_replica;
 	uint32_t best;
-	uint32_t given;
+	uint32_t assigned;
 	uint32_t i;
 
 	memset(share, 0, models_count * sizeof(*share));
-	for (given = 0; given < upstreams_count; given++) {
+	for (assigned = 0; assigned < upstreams_count; assigned++) {
 		best = models_count;
-		best_need = -1;
+		best_per_replica = -1;
 		for (i = 0; i < models_count; i++) {
 			if (models[i].replicas_max != 0 &&
 			    share[i] >= models[i].replicas_max)
 				continue;
-			need = demand_of(models, models_count, i) /
+			per_replica = model_demand(models, models_count, i) /
 			    (share[i] + 0.5);
 			if (share[i] == 0)
-				need += 1e18;
-			if (need > best_need) {
-				best_need = need;
+				per_replica += 1e18;
+			if (per_replica > best_per_replica) {
+				best_per_replica = per_replica;
 				best = i;
 			}
 		}
 		if (best == models_count)
-			break; /* no model has use for another home */
+			break; /* every model has its maximum */
 		share[best]++;
 	}
 }
@@ -76,8 +78,9 @@
 	return -1;
 }
 
+/* The model that lacks the most replicas, -1 when none lacks any. */
 static int
-neediest(const uint32_t *share, const uint32_t *have, uint32_t count)
+most_lacking(const uint32_t *share, const uint32_t *have, uint32_t count)
 {
 	int best = -1;
 	uint32_t i;
@@ -102,7 +105,7 @@
 
 	if (models_count == 0 || models_count > KWB_MODELS_MAX)
 		return;
-	shares(models, models_count, upstreams_count, share);
+	divide_upstreams(models, models_count, upstreams_count, share);
 	for (i = 0; i < upstreams_count; i++) {
 		from = model_index(models, models_count, upstreams[i].model);
 		if (from < 0)
@@ -113,20 +116,20 @@
 	for (i = 0; i < upstreams_count; i++) {
 		if (upstreams[i].model[0] != '\0')
 			continue;
-		to = neediest(share, have, models_count);
+		to = most_lacking(share, have, models_count);
 		if (to < 0)
 			break;
 		kwb_text_copy(
 		    upstreams[i].model, KWB_NAME_MAX_BYTES, models[to].name);
 		have[to]++;
 	}
-	/* What a model has beyond its share goes to one that lacks it, or
-	 * rests. */
+	/* Replicas beyond a model's share go to a model that lacks some, or
+	 * become unassigned. */
 	for (i = 0; i < upstreams_count; i++) {
 		from = model_index(models, models_count, upstreams[i].model);
 		if (from < 0 || have[from] <= share[from])
 			continue;
-		to = neediest(share, have, models_count);
+		to = most_lacking(share, have, models_count);
 		have[from]--;
 		kwb_text_copy(upstreams[i].model, KWB_NAME_MAX_BYTES,
 		    to < 0 ? "" : models[to].name);
@@ -136,17 +139,17 @@
 }
 
 /*
- * A load takes an upstream away from its model for about a second, and only
- * some can load at once. With weights that are `lag` versions old a batch is
- * still served, so most replicas are loaded while the batches before go on,
- * some at a time; the rest takes every other version, when it has to. So a
- * batch finds most replicas ready as it comes.
+ * A load keeps a replica from serving for about a second, and only some can
+ * load at once. A batch accepts weights up to `lag` versions old. So most
+ * replicas load ahead, a few at a time, while earlier batches still run. The
+ * rest load only when their weights become too old, which skips every other
+ * version. So a new batch finds most replicas ready.
  */
 enum kwb_weight_load_urgency
 kwb_weight_load_urgency(const struct kwb_weight_load_input *input)
 {
-	uint32_t part = input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
-	uint32_t ahead = input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
+	uint32_t at_once = input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
+	uint32_t wanted = input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
 
 	if (input->version >= input->newest ||
 	    input->loading >= input->loading_max)
@@ -154,8 +157,8 @@
 	if (input->version + input->lag < input->newest ||
 	    (input->version < input->needed && input->replicas_needed == 0))
 		return KWB_WEIGHT_LOAD_NOW;
-	if (input->replicas_newest < ahead &&
-	    input->replicas_loading < (part > 0 ? part : 1) &&
+	if (input->replicas_newest < wanted &&
+	    input->replicas_loading < (at_once > 0 ? at_once : 1) &&
 	    input->serving > 1)
 		return KWB_WEIGHT_LOAD_AHEAD;
 	return KWB_WEIGHT_LOAD_NONE;
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -1,8 +1,11 @@
 /*
- * Moves upstreams to the versions that trainers name. One holder of a lease
- * orders, with its fencing token, the incarnation it means and the count of
- * orders it has seen; every order is checked against the lease before it goes
- * out. After an order without answer the upstream's state is read first.
+ * The weight updater: assigns models to upstreams and orders each upstream to
+ * load the versions that trainers announce. All nodes run it, but only the
+ * holder of the lease sends orders. An order carries the holder's fencing
+ * token, the upstream's incarnation and the number of orders that the
+ * upstream has accepted, so that the upstream rejects one that is out of
+ * date. The lease is checked before each order. After an order without an
+ * answer the upstream's state is read before the next one.
  */
 #include <event2/event.h>
 #include <stdio.h>
@@ -11,201 +14,213 @@
 
 #include "mover.h"
 
-#define TABLE_HOMES "homes" /* key: upstream, value: model and version */
+#define ASSIGNMENTS_TABLE "homes" /* key: upstream, value: model, version */
 #define LEASE_NAME "weights"
-#define NO_MODEL "-" /* in a row: home of no model */
+#define NO_MODEL_TEXT "-" /* in a row: upstream without a model */
 
 static struct kwb_replica *
-upstream_find(const struct kwb_weight_updater *mover, const char *id)
+replica_find(const struct kwb_weight_updater *updater, const char *id)
 {
-	return kwb_index_get(&mover->index, id);
+	return kwb_index_get(&updater->index, id);
 }
 
+/* Finds or adds; NULL without memory. */
 static struct kwb_replica *
-upstream_get(struct kwb_weight_updater *mover, const char *id)
+replica_get(struct kwb_weight_updater *updater, const char *id)
 {
-	struct kwb_replica *upstream = upstream_find(mover, id);
+	struct kwb_replica *replica = replica_find(updater, id);
 
-	if (upstream != NULL)
-		return upstream;
-	upstream = calloc(1, sizeof(*upstream));
-	if (upstream == NULL)
+	if (replica != NULL)
+		return replica;
+	replica = calloc(1, sizeof(*replica));
+	if (replica == NULL)
 		return NULL;
-	kwb_text_copy(upstream->id, sizeof(upstream->id), id);
-	upstream->mover = mover;
-	if (kwb_index_put(&mover->index, upstream->id, upstream) != 0) {
-		free(upstream);
+	kwb_text_copy(replica->id, sizeof(replica->id), id);
+	replica->updater = updater;
+	if (kwb_index_put(&updater->index, replica->id, replica) != 0) {
+		free(replica);
 		return NULL;
 	}
-	TAILQ_INSERT_TAIL(&mover->upstreams, upstream, entry);
-	return upstream;
+	TAILQ_INSERT_TAIL(&updater->replicas, replica, entry);
+	return replica;
 }
 
 struct kwb_upstream *
-mover_listed(const struct kwb_weight_updater *mover, const char *id)
+updater_find_listed(const struct kwb_weight_updater *updater, const char *id)
 {
-	return kwb_registry_find(mover->env->forward->registry, id);
+	return kwb_registry_find(updater->env->forward->registry, id);
 }
 
-/* What the replicas' rows say goes to the registry, where requests look. */
+/* Copies an assignment into the registry, which routing reads. */
 void
-mover_home_apply(
-    struct kwb_weight_updater *mover, const struct kwb_replica *home)
+updater_assignment_apply(
+    struct kwb_weight_updater *updater, const struct kwb_replica *replica)
 {
-	struct kwb_upstream *upstream = mover_listed(mover, home->id);
+	struct kwb_upstream *upstream =
+	    updater_find_listed(updater, replica->id);
 
 	if (upstream == NULL)
 		return;
-	kwb_upstream_expect(upstream, home->model, home->target);
+	kwb_upstream_expect(upstream, replica->model, replica->target_version);
 }
 
 void
 kwb_weight_updater_on_upstream(
-    struct kwb_weight_updater *mover, struct kwb_upstream *upstream)
+    struct kwb_weight_updater *updater, struct kwb_upstream *upstream)
 {
-	struct kwb_replica *home = upstream_find(mover, upstream->status.id);
+	struct kwb_replica *replica =
+	    replica_find(updater, upstream->status.id);
 
-	if (home == NULL)
+	if (replica == NULL)
 		return;
-	mover_home_apply(mover, home);
-	if (home->ordered &&
-	    kwb_upstream_version(upstream, home->model) >= home->target)
-		home->ordered = false;
+	updater_assignment_apply(updater, replica);
+	if (replica->load_pending &&
+	    kwb_upstream_version(upstream, replica->model) >=
+		replica->target_version)
+		replica->load_pending = false;
 }
 
 static void
-home_row(void *context, const struct kwb_row *row)
+assignment_row(void *context, const struct kwb_row *row)
 {
-	struct kwb_weight_updater *mover = context;
-	struct kwb_replica *home = upstream_get(mover, row->key);
+	struct kwb_weight_updater *updater = context;
+	struct kwb_replica *replica = replica_get(updater, row->key);
 	unsigned long long target = 0;
 
-	if (home == NULL || row->revision < home->revision)
+	if (replica == NULL || row->revision < replica->revision)
 		return;
-	if (kwb_store_lease_fence(&mover->lease) != 0 && home->model[0] != '\0')
-		return; /* an echo: this node writes the rows */
-	home->revision = row->deleted ? 0 : row->revision;
-	home->model[0] = '\0';
-	home->target = 0;
+	if (kwb_store_lease_fence(&updater->lease) != 0 &&
+	    replica->model[0] != '\0')
+		return; /* its own write: only the lease holder writes rows */
+	replica->revision = row->deleted ? 0 : row->revision;
+	replica->model[0] = '\0';
+	replica->target_version = 0;
 	if (!row->deleted &&
-	    sscanf(row->value, "%63s %llu", home->model, &target) < 1)
+	    sscanf(row->value, "%63s %llu", replica->model, &target) < 1)
 		kwb_log(KWB_LOG_WARN, "mover",
 		    "event=home_unreadable upstream=%s revision=%llu", row->key,
 		    (unsigned long long)row->revision);
-	if (strcmp(home->model, NO_MODEL) == 0)
-		home->model[0] = '\0';
-	home->target = target;
-	mover_home_apply(mover, home);
-	kwb_batches_reconsider(mover->batches);
+	if (strcmp(replica->model, NO_MODEL_TEXT) == 0)
+		replica->model[0] = '\0';
+	replica->target_version = target;
+	updater_assignment_apply(updater, replica);
+	kwb_batches_reconsider(updater->batches);
 }
 
 uint64_t
 kwb_weight_updater_announced(
-    const struct kwb_weight_updater *mover, const char *model)
+    const struct kwb_weight_updater *updater, const char *model)
 {
 	uint32_t i;
 
-	for (i = 0; i < mover->versions_count; i++)
-		if (strcmp(mover->versions[i].model, model) == 0)
-			return mover->versions[i].version;
+	for (i = 0; i < updater->versions_count; i++)
+		if (strcmp(updater->versions[i].model, model) == 0)
+			return updater->versions[i].version;
 	return 0;
 }
 
 void
 kwb_weight_updater_announce(
-    struct kwb_weight_updater *mover, const char *model, uint64_t version)
+    struct kwb_weight_updater *updater, const char *model, uint64_t version)
 {
 	uint32_t i;
 
-	for (i = 0; i < mover->versions_count; i++)
-		if (strcmp(mover->versions[i].model, model) == 0)
+	for (i = 0; i < updater->versions_count; i++)
+		if (strcmp(updater->versions[i].model, model) == 0)
 			break;
 	if (i == KWB_MODELS_MAX)
 		return;
-	if (i == mover->versions_count) {
-		mover->versions_count++;
-		mover->versions[i].version = 0;
+	if (i == updater->versions_count) {
+		updater->versions_count++;
+		updater->versions[i].version = 0;
 		kwb_text_copy(
-		    mover->versions[i].model, KWB_NAME_MAX_BYTES, model);
+		    updater->versions[i].model, KWB_NAME_MAX_BYTES, model);
 	}
-	if (version <= mover->versions[i].version)
+	if (version <= updater->versions[i].version)
 		return;
-	mover->versions[i].version = version;
+	updater->versions[i].version = version;
 	kwb_log(KWB_LOG_INFO, "mover", "event=named model=%s version=%llu",
 	    model, (unsigned long long)version);
-	kwb_timer_at(mover->timer, 0);
+	kwb_timer_at(updater->timer, 0);
 }
 
-/* ---- Homes ----------------------------------------------------------------
+/* ---- Assignment of models to upstreams --------------------------------------
  */
 
 static void
-write_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+write_done(struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
-	struct kwb_weight_updater *mover = call->context;
+	struct kwb_weight_updater *updater = call->context;
 
-	struct kwb_replica *home;
+	struct kwb_replica *replica;
 
-	mover->writing = false;
+	updater->write_pending = false;
 	if (answer->error == 0) {
-		mover_home_write(mover);
+		updater_rows_write(updater);
 		return;
 	}
 	kwb_log(KWB_LOG_WARN, "mover", "event=homes_not_written error=%s",
 	    kwb_error_name(answer->error));
-	TAILQ_FOREACH (home, &mover->upstreams, entry)
-		home->changed = home->model[0] != '\0';
+	TAILQ_FOREACH (replica, &updater->replicas, entry)
+		replica->row_changed = replica->model[0] != '\0';
 }
 
-/* Tells all nodes of the replicas and of what has been ordered. */
+/* Publishes changed assignments and ordered versions to all nodes. */
 void
-mover_home_write(struct kwb_weight_updater *mover)
+updater_rows_write(struct kwb_weight_updater *updater)
 {
 	static struct kwb_tx tx;
 	static char values[KWB_TX_ROWS_MAX][KWB_NAME_MAX_BYTES + 24];
-	struct kwb_store *store = mover->env->store;
-	struct kwb_replica *home;
+	struct kwb_store *store = updater->env->store;
+	struct kwb_replica *replica;
 
-	if (mover->writing || kwb_store_lease_fence(&mover->lease) == 0)
+	if (updater->write_pending ||
+	    kwb_store_lease_fence(&updater->lease) == 0)
 		return;
 	memset(&tx, 0, sizeof(tx));
-	TAILQ_FOREACH (home, &mover->upstreams, entry) {
-		if (!home->changed || tx.put_count >= KWB_TX_ROWS_MAX - 1)
+	TAILQ_FOREACH (replica, &updater->replicas, entry) {
+		if (!replica->row_changed ||
+		    tx.put_count >= KWB_TX_ROWS_MAX - 1)
 			continue;
 		snprintf(values[tx.put_count], sizeof(values[0]), "%s %llu",
-		    home->model[0] ? home->model : NO_MODEL,
-		    (unsigned long long)home->target);
-		home->changed = false;
-		kwb_tx_put(&tx, TABLE_HOMES, "", home->id, values[tx.put_count],
-		    strlen(values[tx.put_count]));
+		    replica->model[0] ? replica->model : NO_MODEL_TEXT,
+		    (unsigned long long)replica->target_version);
+		replica->row_changed = false;
+		kwb_tx_put(&tx, ASSIGNMENTS_TABLE, "", replica->id,
+		    values[tx.put_count], strlen(values[tx.put_count]));
 	}
 	if (tx.put_count == 0)
 		return;
-	mover->call.on_done = write_answer;
-	mover->call.context = mover;
-	mover->writing = store->ops->transact(store, &tx, &mover->call) == 0;
+	updater->write.on_done = write_done;
+	updater->write.context = updater;
+	updater->write_pending =
+	    store->ops->transact(store, &tx, &updater->write) == 0;
 }
 
+/* Tokens of the model's newest batch, 0 when there is none. */
 static uint64_t
-demand_of(const struct kwb_weight_updater *mover, const char *model)
+model_demand(const struct kwb_weight_updater *updater, const char *model)
 {
 	const struct kwb_batch_head *newest =
-	    kwb_batches_newest(mover->batches, model);
+	    kwb_batches_newest(updater->batches, model);
 
 	return newest ? newest->tokens : 0;
 }
 
-/* Homes that the largest batch of a model can fill, twice over and a half. */
+/*
+ * Replicas that KWB_REPLICA_SLOTS_PERCENT of the model's largest batch can
+ * fill, 0 when unknown.
+ */
 static uint32_t
-homes_most(
-    const struct kwb_weight_updater *mover, const char *model, uint32_t slots)
+replicas_max(
+    const struct kwb_weight_updater *updater, const char *model, uint32_t slots)
 {
 	const struct kwb_batch_head *head;
 	uint32_t items = 0;
 	uint32_t i;
 
-	for (i = 0; i < mover->batches->heads_count; i++) {
-		head = mover->batches->heads[i];
+	for (i = 0; i < updater->batches->heads_count; i++) {
+		head = updater->batches->heads[i];
 		if (head->total > items && strcmp(head->model, model) == 0)
 			items = head->total;
 	}
@@ -214,85 +229,91 @@
 	return items * KWB_REPLICA_SLOTS_PERCENT / 100 / slots + 1;
 }
 
+/* Assigns the service's models to its upstreams and notes the changes. */
 static void
-plan_service(
-    struct kwb_weight_updater *mover, const struct kwb_service *service)
+service_assign(
+    struct kwb_weight_updater *updater, const struct kwb_service *service)
 {
-	const struct kwb_registry *registry = mover->env->forward->registry;
+	const struct kwb_registry *registry = updater->env->forward->registry;
 	struct kwb_model_demand models[KWB_MODELS_MAX];
-	struct kwb_replica_assignment *plan;
-	struct kwb_replica *home;
+	struct kwb_replica_assignment *assignments;
+	struct kwb_replica *replica;
 	struct kwb_upstream *upstream;
 	uint32_t models_count = service->models_count;
 	uint32_t count = 0;
 	uint32_t i;
 
-	plan = calloc(registry->count + 1, sizeof(*plan));
-	if (plan == NULL || models_count > KWB_MODELS_MAX) {
-		free(plan);
+	assignments = calloc(registry->count + 1, sizeof(*assignments));
+	if (assignments == NULL || models_count > KWB_MODELS_MAX) {
+		free(assignments);
 		return;
 	}
 	for (i = 0; i < models_count; i++) {
 		models[i].name = service->models[i];
-		models[i].demand = demand_of(mover, service->models[i]);
+		models[i].demand_tokens =
+		    model_demand(updater, service->models[i]);
 		models[i].replicas_max =
-		    homes_most(mover, service->models[i], service->slots);
+		    replicas_max(updater, service->models[i], service->slots);
 	}
 	for (i = 0; i < registry->count; i++) {
 		upstream = registry->upstreams[i];
 		if (!upstream->listed || upstream->status.draining ||
 		    strcmp(upstream->status.service, service->name) != 0)
 			continue;
-		plan[count].id = upstream->status.id;
-		home = upstream_get(mover, upstream->status.id);
-		if (home != NULL)
-			kwb_text_copy(
-			    plan[count].model, KWB_NAME_MAX_BYTES, home->model);
+		assignments[count].id = upstream->status.id;
+		replica = replica_get(updater, upstream->status.id);
+		if (replica != NULL)
+			kwb_text_copy(assignments[count].model,
+			    KWB_NAME_MAX_BYTES, replica->model);
 		count++;
 	}
-	kwb_replicas_assign(plan, count, models, models_count);
+	kwb_replicas_assign(assignments, count, models, models_count);
 	for (i = 0; i < count; i++) {
-		home = upstream_find(mover, plan[i].id);
-		if (home == NULL || strcmp(home->model, plan[i].model) == 0)
+		replica = replica_find(updater, assignments[i].id);
+		if (replica == NULL ||
+		    strcmp(replica->model, assignments[i].model) == 0)
 			continue;
 		kwb_log(KWB_LOG_INFO, "mover",
-		    "event=home upstream=%s model=%s before=%s", home->id,
-		    plan[i].model, home->model[0] ? home->model : "-");
-		kwb_text_copy(home->model, sizeof(home->model), plan[i].model);
-		home->target = 0;
-		home->ordered = false;
-		home->changed = true;
-		mover_home_apply(mover, home);
+		    "event=home upstream=%s model=%s before=%s", replica->id,
+		    assignments[i].model,
+		    replica->model[0] ? replica->model : "-");
+		kwb_text_copy(replica->model, sizeof(replica->model),
+		    assignments[i].model);
+		replica->target_version = 0;
+		replica->load_pending = false;
+		replica->row_changed = true;
+		updater_assignment_apply(updater, replica);
 	}
-	free(plan);
+	free(assignments);
 }
 
-/* ---- What is ordered now ----------------------------------------------------
+/* ---- Orders -----------------------------------------------------------------
  */
 
 static void
-home_step(struct kwb_weight_updater *mover, struct mover_look *look,
-    struct kwb_replica *home, const struct kwb_upstream *upstream,
-    enum kwb_weight_load_urgency urgency)
+replica_update(struct kwb_weight_updater *updater,
+    struct updater_snapshot *snapshot, struct kwb_replica *replica,
+    const struct kwb_upstream *upstream, enum kwb_weight_load_urgency urgency)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	int at = mover_version_index(mover, home->model);
+	int index = updater_model_index(updater, replica->model);
 	struct kwb_weight_load_input *input;
 
-	if (home->ordered && now_ns >= home->look_ns) {
-		mover_report_start(home, upstream);
+	if (replica->load_pending && now_ns >= replica->check_ns) {
+		updater_report_start(replica, upstream);
 		return;
 	}
-	if (at < 0 || home->ordered || home->busy_until_ns > now_ns)
+	if (index < 0 || replica->load_pending ||
+	    replica->busy_until_ns > now_ns)
 		return;
-	input = &look->models[at];
-	input->version = kwb_upstream_version(upstream, home->model);
-	input->loading = look->loading;
-	input->loading_max = mover_loading_max(look);
+	input = &snapshot->models[index];
+	input->version = kwb_upstream_version(upstream, replica->model);
+	input->loading = snapshot->loading;
+	input->loading_max = updater_loads_max(snapshot);
 	if (kwb_weight_load_urgency(input) != urgency)
 		return;
-	if (!home->seq_known) {
-		mover_report_start(home, upstream);
+	if (!replica->order_seq_known) {
+		updater_report_start(replica, upstream);
 		return;
 	}
 	input->serving -=
@@ -300,127 +321,135 @@
 	input->replicas_loading++;
 	input->replicas_newest++;
 	input->replicas_needed++;
-	look->loading++;
-	home->changed = true;
-	mover_order_start(home, upstream, input->newest);
+	snapshot->loading++;
+	replica->row_changed = true;
+	updater_order_start(replica, upstream, input->newest);
 }
 
-/* What a batch waits for goes before what is loaded ahead. */
+/*
+ * Reads the state of replicas where that is due and sends the orders of this
+ * urgency. Loads that a batch waits for come first, then loads ahead.
+ */
 static void
-homes_step(struct kwb_weight_updater *mover, struct mover_look *look,
-    enum kwb_weight_load_urgency urgency)
+replicas_update(struct kwb_weight_updater *updater,
+    struct updater_snapshot *snapshot, enum kwb_weight_load_urgency urgency)
 {
-	struct kwb_replica *home;
+	struct kwb_replica *replica;
 	struct kwb_replica *next;
 	const struct kwb_upstream *upstream;
 
-	for (home = TAILQ_FIRST(&mover->upstreams); home != NULL; home = next) {
-		next = TAILQ_NEXT(home, entry);
-		if (home->asking || home->ordering || home->model[0] == '\0')
+	for (replica = TAILQ_FIRST(&updater->replicas); replica != NULL;
+	     replica = next) {
+		next = TAILQ_NEXT(replica, entry);
+		if (replica->report_pending || replica->order_pending ||
+		    replica->model[0] == '\0')
 			continue;
-		upstream = mover_listed(mover, home->id);
+		upstream = updater_find_listed(updater, replica->id);
 		if (upstream != NULL && !upstream->status.draining)
-			home_step(mover, look, home, upstream, urgency);
+			replica_update(
+			    updater, snapshot, replica, upstream, urgency);
 	}
 }
 
 void
-mover_look_soon(struct kwb_weight_updater *mover)
+updater_check_soon(struct kwb_weight_updater *updater)
 {
-	if (mover->look_soon)
+	if (updater->check_armed)
 		return;
-	mover->look_soon = true;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_UPDATER_DELAY_NS);
+	updater->check_armed = true;
+	kwb_timer_at(updater->timer, kwb_clock_now_ns() + KWB_UPDATER_DELAY_NS);
 }
 
 static void
-mover_time(int fd, short what, void *context)
+updater_tick(int fd, short what, void *context)
 {
-	struct kwb_weight_updater *mover = context;
-	const struct kwb_node_config *config = *mover->env->config;
+	struct kwb_weight_updater *updater = context;
+	const struct kwb_node_config *config = *updater->env->config;
 	uint64_t now_ns = kwb_clock_now_ns();
-	struct mover_look look;
+	struct updater_snapshot snapshot;
 	uint32_t i;
 
 	(void)fd;
 	(void)what;
-	mover->look_soon = false;
-	kwb_timer_at(mover->timer, now_ns + KWB_UPDATER_PERIOD_NS);
-	if (config == NULL || !mover->replicas.synced ||
-	    kwb_store_lease_fence(&mover->lease) == 0)
+	updater->check_armed = false;
+	kwb_timer_at(updater->timer, now_ns + KWB_UPDATER_PERIOD_NS);
+	if (config == NULL || !updater->rows.synced ||
+	    kwb_store_lease_fence(&updater->lease) == 0)
 		return;
-	if (now_ns >= mover->plan_ns) {
-		mover->plan_ns = now_ns + KWB_ASSIGN_PERIOD_NS;
+	if (now_ns >= updater->assign_ns) {
+		updater->assign_ns = now_ns + KWB_ASSIGN_PERIOD_NS;
 		for (i = 0; i < config->services_count; i++)
 			if (config->services[i].models_count > 0)
-				plan_service(mover, &config->services[i]);
-		mover_home_write(mover);
+				service_assign(updater, &config->services[i]);
+		updater_rows_write(updater);
 	}
-	mover_look_at(mover, &look);
-	homes_step(mover, &look, KWB_WEIGHT_LOAD_NOW);
-	homes_step(mover, &look, KWB_WEIGHT_LOAD_AHEAD);
+	updater_snapshot_take(updater, &snapshot);
+	replicas_update(updater, &snapshot, KWB_WEIGHT_LOAD_NOW);
+	replicas_update(updater, &snapshot, KWB_WEIGHT_LOAD_AHEAD);
 }
 
 static void
 lease_changed(void *context)
 {
-	struct kwb_weight_updater *mover = context;
-	struct kwb_replica *home;
-
-	/* Another holder may have ordered since: nothing is known. */
-	TAILQ_FOREACH (home, &mover->upstreams, entry) {
-		mover_exchange_close(home);
-		home->seq_known = false;
-		home->ordered = false;
+	struct kwb_weight_updater *updater = context;
+	struct kwb_replica *replica;
+
+	/* Another holder may have sent orders: read each state again. */
+	TAILQ_FOREACH (replica, &updater->replicas, entry) {
+		updater_exchange_close(replica);
+		replica->order_seq_known = false;
+		replica->load_pending = false;
 	}
-	mover->plan_ns = 0;
-	kwb_timer_at(mover->timer, 0);
+	updater->assign_ns = 0;
+	kwb_timer_at(updater->timer, 0);
 }
 
 int
-kwb_weight_updater_init(struct kwb_weight_updater *mover,
+kwb_weight_updater_init(struct kwb_weight_updater *updater,
     const struct kwb_batch_env *env, struct kwb_batches *batches)
 {
 	int code;
 
-	memset(mover, 0, sizeof(*mover));
-	mover->env = env;
-	mover->batches = batches;
-	TAILQ_INIT(&mover->upstreams);
-	mover->timer = kwb_timer_new(env->base, mover_time, mover);
-	if (mover->timer == NULL)
+	memset(updater, 0, sizeof(*updater));
+	updater->env = env;
+	updater->batches = batches;
+	TAILQ_INIT(&updater->replicas);
+	updater->timer = kwb_timer_new(env->base, updater_tick, updater);
+	if (updater->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_UPDATER_PERIOD_NS);
-	code = kwb_follower_init(&mover->replicas, env->base, env->store,
-	    TABLE_HOMES, home_row, NULL, mover);
+	kwb_timer_at(
+	    updater->timer, kwb_clock_now_ns() + KWB_UPDATER_PERIOD_NS);
+	code = kwb_follower_init(&updater->rows, env->base, env->store,
+	    ASSIGNMENTS_TABLE, assignment_row, NULL, updater);
 	if (code != 0)
 		return code;
-	return kwb_store_lease_init(&mover->lease, env->base, env->store,
+	return kwb_store_lease_init(&updater->lease, env->base, env->store,
 	    LEASE_NAME, env->settings->node,
 	    env->settings->lease_ms * KWB_MS_NS, env->settings->orders_fenced,
-	    lease_changed, mover);
+	    lease_changed, updater);
 }
 
 void
-kwb_weight_updater_step_down(struct kwb_weight_updater *mover)
+kwb_weight_updater_step_down(struct kwb_weight_updater *updater)
 {
-	kwb_store_lease_step_down(&mover->lease);
+	kwb_store_lease_step_down(&updater->lease);
 }
 
 void
-kwb_weight_updater_finish(struct kwb_weight_updater *mover)
+kwb_weight_updater_finish(struct kwb_weight_updater *updater)
 {
-	struct kwb_replica *home;
+	struct kwb_replica *replica;
 	struct kwb_replica *next;
 
-	kwb_store_cancel(mover->env->store, &mover->call);
-	kwb_store_lease_finish(&mover->lease);
-	kwb_follower_finish(&mover->replicas);
-	event_free(mover->timer);
-	kwb_index_finish(&mover->index);
-	for (home = TAILQ_FIRST(&mover->upstreams); home != NULL; home = next) {
-		next = TAILQ_NEXT(home, entry);
-		mover_exchange_close(home);
-		free(home);
+	kwb_store_cancel(updater->env->store, &updater->write);
+	kwb_store_lease_finish(&updater->lease);
+	kwb_follower_finish(&updater->rows);
+	event_free(updater->timer);
+	kwb_index_finish(&updater->index);
+	for (replica = TAILQ_FIRST(&updater->replicas); replica != NULL;
+	     replica = next) {
+		next = TAILQ_NEXT(replica, entry);
+		updater_exchange_close(replica);
+		free(replica);
 	}
 }
--- a/src/weights/mover.h
+++ b/src/weights/mover.h
@@ -1,43 +1,45 @@
 /*
- * Inside of the mover: its replicas and the orders to them.
+ * Internals of the weight updater: its replicas and the orders to them.
  */
-#ifndef KWB_MOVER_H
-#define KWB_MOVER_H
+#ifndef KWB_WEIGHTS_UPDATER_H
+#define KWB_WEIGHTS_UPDATER_H
 
 #include "kwb_node.h"
 
-/* mover.c */
-struct kwb_upstream *mover_listed(
-    const struct kwb_weight_updater *mover, const char *id); /* or NULL */
-void mover_home_apply(struct kwb_weight_updater *mover,
-    const struct kwb_replica *home); /* into the registry */
-void mover_home_write(
-    struct kwb_weight_updater *mover); /* tells all nodes of changed replicas */
+/* updater.c */
+struct kwb_upstream *updater_find_listed(
+    const struct kwb_weight_updater *updater,
+    const char *id); /* the upstream in the registry, or NULL */
+void updater_assignment_apply(struct kwb_weight_updater *updater,
+    const struct kwb_replica *replica); /* to the registry, for routing */
+/* Writes changed assignments to the store. */
+void updater_rows_write(struct kwb_weight_updater *updater);
+/* Checks soon what to order; once for answers that arrive together. */
+void updater_check_soon(struct kwb_weight_updater *updater);
 
-void mover_look_soon(struct kwb_weight_updater
-	*mover); /* one look for answers that come together */
-
-/* mover_look.c */
-/* What one look at all replicas found; kept up to date as orders go out. */
-struct mover_look {
-	struct kwb_weight_load_input
-	    models[KWB_MODELS_MAX]; /* as mover->versions */
-	uint32_t loading;	    /* all of them */
-	uint32_t upstreams;
+/* updater_snapshot.c */
+/* State of all replicas at one moment; updated as orders are sent. */
+struct updater_snapshot {
+	/* by index in updater->versions */
+	struct kwb_weight_load_input models[KWB_MODELS_MAX];
+	uint32_t loading;   /* replicas that load, of all models */
+	uint32_t upstreams; /* listed, with a model */
 };
 
-void mover_look_at(
-    const struct kwb_weight_updater *mover, struct mover_look *look);
-uint32_t mover_loading_max(
-    const struct mover_look *look); /* loads at once, of all replicas */
-int mover_version_index(
-    const struct kwb_weight_updater *mover, const char *model); /* or -1 */
+void updater_snapshot_take(const struct kwb_weight_updater *updater,
+    struct updater_snapshot *snapshot);
+/* Loads allowed at once, of all models. */
+uint32_t updater_loads_max(const struct updater_snapshot *snapshot);
+int updater_model_index(const struct kwb_weight_updater *updater,
+    const char *model); /* in its versions, or -1 */
 
-/* mover_order.c */
-void mover_exchange_close(struct kwb_replica *home);
-void mover_report_start(
-    struct kwb_replica *home, const struct kwb_upstream *upstream);
-void mover_order_start(struct kwb_replica *home,
-    const struct kwb_upstream *upstream, uint64_t version);
+/* updater_order.c */
+void updater_exchange_close(
+    struct kwb_replica *replica); /* drops an exchange in progress */
+void updater_report_start(struct kwb_replica *replica,
+    const struct kwb_upstream *upstream); /* reads its state */
+void updater_order_start(struct kwb_replica *replica,
+    const struct kwb_upstream *upstream,
+    uint64_t version); /* orders a load; nothing without the lease */
 
 #endif
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -1,7 +1,7 @@
 /*
- * Orders to upstreams, and the questions that settle what became of them. An
- * order names the incarnation it means and the count of orders seen; after one
- * without an answer the upstream's state is read before the next.
+ * Orders to upstreams to load weights, and status requests. An order names the
+ * upstream's incarnation and the number of orders that it has accepted. After
+ * an order without an answer the upstream's state is read before the next one.
  */
 #include <event2/buffer.h>
 #include <string.h>
@@ -9,154 +9,158 @@
 #include "mover.h"
 
 void
-mover_exchange_close(struct kwb_replica *home)
+updater_exchange_close(struct kwb_replica *replica)
 {
-	if (home->asking || home->ordering)
-		kwb_exchange_finish(&home->exchange);
-	home->asking = false;
-	home->ordering = false;
+	if (replica->report_pending || replica->order_pending)
+		kwb_exchange_finish(&replica->exchange);
+	replica->report_pending = false;
+	replica->order_pending = false;
 }
 
-/* The state as asked for: how many orders, and which weights are there. */
+/* Takes over the upstream's order count, versions and progress. */
 static void
-report_done(struct kwb_replica *home, const struct kwb_message *message)
+report_done(struct kwb_replica *replica, const struct kwb_message *message)
 {
-	struct kwb_weight_updater *mover = home->mover;
-	struct kwb_upstream *upstream = mover_listed(mover, home->id);
+	struct kwb_weight_updater *updater = replica->updater;
+	struct kwb_upstream *upstream =
+	    updater_find_listed(updater, replica->id);
 	struct kwb_upstream_report report;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
 	if (upstream == NULL ||
-	    mover->env->forward->dialect->read_report(message, &report) != 0)
+	    updater->env->forward->dialect->read_report(message, &report) != 0)
 		return;
-	home->order_seq = report.order_seq;
-	home->seq_known = true;
+	replica->order_seq = report.order_seq;
+	replica->order_seq_known = true;
 	for (i = 0; i < report.models_count; i++)
 		if (report.models[i].version >
 		    kwb_upstream_version(upstream, report.models[i].name))
 			kwb_upstream_set_version(upstream,
 			    report.models[i].name, report.models[i].version);
 	if (!report.busy ||
-	    kwb_upstream_version(upstream, home->model) >= home->target)
-		home->ordered = false;
-	home->busy_until_ns =
+	    kwb_upstream_version(upstream, replica->model) >=
+		replica->target_version)
+		replica->load_pending = false;
+	replica->busy_until_ns =
 	    report.busy ? now_ns + KWB_WEIGHT_LOAD_RECHECK_NS : now_ns;
-	home->look_ns = now_ns + KWB_WEIGHT_LOAD_RECHECK_NS;
+	replica->check_ns = now_ns + KWB_WEIGHT_LOAD_RECHECK_NS;
 }
 
 static void
-order_done(struct kwb_replica *home, const struct kwb_message *message)
+order_done(struct kwb_replica *replica, const struct kwb_message *message)
 {
-	struct kwb_weight_updater *mover = home->mover;
-	struct kwb_upstream *upstream = mover_listed(mover, home->id);
+	struct kwb_weight_updater *updater = replica->updater;
+	struct kwb_upstream *upstream =
+	    updater_find_listed(updater, replica->id);
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	kwb_log(KWB_LOG_INFO, "mover",
 	    "event=order_answered upstream=%s model=%s version=%llu status=%u",
-	    home->id, home->model, (unsigned long long)home->target,
-	    message->status);
+	    replica->id, replica->model,
+	    (unsigned long long)replica->target_version, message->status);
 	switch (message->status) {
 	case 202:
-		home->order_seq++;
-		home->ordered = true;
-		home->ordered_ns = now_ns;
-		home->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
-		home->look_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
-		mover_home_apply(mover, home);
-		mover_home_write(mover);
-		kwb_batches_reconsider(mover->batches);
+		replica->order_seq++;
+		replica->load_pending = true;
+		replica->order_accepted_ns = now_ns;
+		replica->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
+		replica->check_ns = now_ns + KWB_WEIGHT_LOAD_CHECK_NS;
+		updater_assignment_apply(updater, replica);
+		updater_rows_write(updater);
+		kwb_batches_reconsider(updater->batches);
 		return;
 	case 200:
-		home->ordered = false;
+		replica->load_pending = false;
 		if (upstream != NULL)
 			kwb_upstream_set_version(
-			    upstream, home->model, home->target);
-		mover_home_write(mover);
+			    upstream, replica->model, replica->target_version);
+		updater_rows_write(updater);
 		return;
 	case 412:
-		kwb_store_lease_lose(&mover->lease);
+		kwb_store_lease_lose(&updater->lease);
 		break;
 	default:
 		break;
 	}
-	home->seq_known = false;
-	home->ordered = false;
-	home->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_RETRY_NS;
+	replica->order_seq_known = false;
+	replica->load_pending = false;
+	replica->busy_until_ns = now_ns + KWB_WEIGHT_LOAD_RETRY_NS;
 }
 
 static void
 exchange_done(struct kwb_exchange *exchange, int error)
 {
-	struct kwb_replica *home = exchange->context;
-	bool ordering = home->ordering;
+	struct kwb_replica *replica = exchange->context;
+	bool was_order = replica->order_pending;
 	struct kwb_message answer = exchange->answer;
 
 	kwb_message_init(&exchange->answer);
-	mover_exchange_close(home);
+	updater_exchange_close(replica);
 	if (error != 0) {
 		kwb_log(KWB_LOG_WARN, "mover", "event=%s upstream=%s error=%s",
-		    ordering ? "order_in_doubt" : "no_report", home->id,
+		    was_order ? "order_in_doubt" : "no_report", replica->id,
 		    kwb_error_name(error));
-		home->seq_known = false;
-		home->busy_until_ns =
+		replica->order_seq_known = false;
+		replica->busy_until_ns =
 		    kwb_clock_now_ns() + KWB_WEIGHT_LOAD_RETRY_NS;
-	} else if (ordering) {
-		order_done(home, &answer);
+	} else if (was_order) {
+		order_done(replica, &answer);
 	} else {
-		report_done(home, &answer);
+		report_done(replica, &answer);
 	}
 	kwb_message_finish(&answer);
-	mover_look_soon(home->mover);
+	updater_check_soon(replica->updater);
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
     .on_done = exchange_done,
 };
 
+/* Sends the request in `out` and frees it. */
 static void
-exchange_open(struct kwb_replica *home, const struct kwb_upstream *upstream,
+exchange_send(struct kwb_replica *replica, const struct kwb_upstream *upstream,
     struct evbuffer *out)
 {
-	memset(&home->exchange, 0, sizeof(home->exchange));
-	home->exchange.ops = &exchange_ops;
-	home->exchange.context = home;
-	home->exchange.deadline_ns =
+	memset(&replica->exchange, 0, sizeof(replica->exchange));
+	replica->exchange.ops = &exchange_ops;
+	replica->exchange.context = replica;
+	replica->exchange.deadline_ns =
 	    kwb_clock_now_ns() + KWB_ORDER_TIMEOUT_MS * KWB_MS_NS;
-	if (kwb_exchange_start(&home->exchange,
-		home->mover->env->forward->client, &upstream->status.address,
-		out) != 0) {
-		home->asking = false;
-		home->ordering = false;
-		home->seq_known = false;
-		home->busy_until_ns =
+	if (kwb_exchange_start(&replica->exchange,
+		replica->updater->env->forward->client,
+		&upstream->status.address, out) != 0) {
+		replica->report_pending = false;
+		replica->order_pending = false;
+		replica->order_seq_known = false;
+		replica->busy_until_ns =
 		    kwb_clock_now_ns() + KWB_WEIGHT_LOAD_RETRY_NS;
 	}
 	evbuffer_free(out);
 }
 
 void
-mover_report_start(
-    struct kwb_replica *home, const struct kwb_upstream *upstream)
+updater_report_start(
+    struct kwb_replica *replica, const struct kwb_upstream *upstream)
 {
 	struct evbuffer *out = evbuffer_new();
 
-	home->asking = true;
-	home->mover->env->forward->dialect->write_report_request(
+	replica->report_pending = true;
+	replica->updater->env->forward->dialect->write_report_request(
 	    &upstream->status.address, out);
-	exchange_open(home, upstream, out);
+	exchange_send(replica, upstream, out);
 }
 
 void
-mover_order_start(struct kwb_replica *home, const struct kwb_upstream *upstream,
-    uint64_t version)
+updater_order_start(struct kwb_replica *replica,
+    const struct kwb_upstream *upstream, uint64_t version)
 {
-	struct kwb_weight_updater *mover = home->mover;
-	struct kwb_order order = {.model = home->model,
+	struct kwb_weight_updater *updater = replica->updater;
+	struct kwb_order order = {.model = replica->model,
 	    .version = version,
-	    .holder = mover->env->settings->node,
-	    .fence = kwb_store_lease_fence(&mover->lease),
-	    .expect_seq = home->order_seq,
+	    .holder = updater->env->settings->node,
+	    .fence = kwb_store_lease_fence(&updater->lease),
+	    .expect_seq = replica->order_seq,
 	    .expect_incarnation = upstream->status.id};
 	struct evbuffer *out;
 
@@ -165,15 +169,15 @@
 	kwb_log(KWB_LOG_INFO, "mover",
 	    "event=order upstream=%s model=%s version=%llu from=%llu "
 	    "fence=%llu seq=%llu",
-	    home->id, home->model, (unsigned long long)version,
-	    (unsigned long long)kwb_upstream_version(upstream, home->model),
+	    replica->id, replica->model, (unsigned long long)version,
+	    (unsigned long long)kwb_upstream_version(upstream, replica->model),
 	    (unsigned long long)order.fence,
 	    (unsigned long long)order.expect_seq);
 	kwb_metric_add(KWB_METRIC_SWAPS, 1);
-	home->target = version;
-	home->ordering = true;
+	replica->target_version = version;
+	replica->order_pending = true;
 	out = evbuffer_new();
-	mover->env->forward->dialect->write_order(
+	updater->env->forward->dialect->write_order(
 	    &order, &upstream->status.address, out);
-	exchange_open(home, upstream, out);
+	exchange_send(replica, upstream, out);
 }
