--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -1,7 +1,8 @@
 /*
- * Fenced weight orders at the point of execution. The agent refuses a token
- * below the highest it has seen, also where the engine ignores tokens, and
- * takes none before it has read the highest from the table.
+ * Weight orders on the agent that carries them out. The agent refuses an order
+ * whose fencing token is below the highest that it has seen, also when the
+ * engine ignores tokens. It accepts none before it has read the highest token
+ * from the platform's table.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,9 +17,9 @@
 static struct order *order_next(struct kwb_agent *agent);
 static void order_execute(struct kwb_agent *agent, const struct order *order,
     Kwb__Wire__OrderReply *reply);
-static struct order_fence *fence_of(struct orders *orders, const char *plan);
-static int fence_learn(struct kwb_agent *agent, struct order_fence *fence);
-static int engine_order(struct kwb_agent *agent, const Kwb__Wire__Order *order);
+static struct order_fence *fence_get(struct orders *orders, const char *plan);
+static int fence_read(struct kwb_agent *agent, struct order_fence *fence);
+static int engine_swap(struct kwb_agent *agent, const Kwb__Wire__Order *order);
 
 void
 order_accept(struct kwb_agent *agent, uint64_t link, Kwb__Wire__Frame *frame)
@@ -90,7 +91,7 @@
     Kwb__Wire__OrderReply *reply)
 {
 	const Kwb__Wire__Order *wanted = order->frame->order;
-	struct order_fence *fence = fence_of(&agent->orders, wanted->plan);
+	struct order_fence *fence = fence_get(&agent->orders, wanted->plan);
 	struct model_state state = {0};
 	int error;
 
@@ -98,7 +99,7 @@
 		reply->error = KWB_ERR_MEMORY;
 		return;
 	}
-	error = fence_learn(agent, fence);
+	error = fence_read(agent, fence);
 	reply->fencing_token = fence->token;
 	if (error == 0 && wanted->fencing_token < fence->token) {
 		kwb_metric_add(KWB_METRIC_FENCED, 1);
@@ -106,13 +107,14 @@
 	}
 	if (error == 0) {
 		fence->token = wanted->fencing_token;
-		/* A pause may have come between; then the order is old. */
+		/* The process may have been suspended; the order is outdated
+		 * then. */
 		if (kwb_clock_now_ns() >= order->deadline_ns)
 			error = KWB_ERR_CALL_DEADLINE;
 	}
 	upstream_version(agent, wanted->model, &state);
 	if (error == 0 && state.version < wanted->version) {
-		error = engine_order(agent, wanted);
+		error = engine_swap(agent, wanted);
 		kwb_metric_add(
 		    error ? KWB_METRIC_SWAP_FAILURES : KWB_METRIC_SWAPS, 1);
 		upstream_watch(agent);
@@ -122,8 +124,9 @@
 	reply->version = state.version;
 }
 
+/* Finds or adds the plan's fence; NULL when there are too many plans. */
 static struct order_fence *
-fence_of(struct orders *orders, const char *plan)
+fence_get(struct orders *orders, const char *plan)
 {
 	struct order_fence *fence;
 	unsigned i;
@@ -138,8 +141,9 @@
 	return fence;
 }
 
+/* Reads the lease's token from the table, once. */
 static int
-fence_learn(struct kwb_agent *agent, struct order_fence *fence)
+fence_read(struct kwb_agent *agent, struct order_fence *fence)
 {
 	char name[KWB_KEY_MAX_BYTES];
 	uint64_t token;
@@ -155,8 +159,9 @@
 	return 0;
 }
 
+/* Tells the engine to swap and waits until it has. */
 static int
-engine_order(struct kwb_agent *agent, const Kwb__Wire__Order *order)
+engine_swap(struct kwb_agent *agent, const Kwb__Wire__Order *order)
 {
 	char url[URL_MAX_BYTES];
 	struct kwb_http_request request = {
--- a/src/weights/swap.c
+++ b/src/weights/swap.c
@@ -1,9 +1,10 @@
 /*
- * Order of weight swaps: which server of a failure domain swaps next. Never
- * more than part of the servers at once, so that others serve meanwhile.
+ * Order of weight swaps: which server of a failure domain swaps next. Only a
+ * part of the servers swaps at once, so that the others serve meanwhile.
  */
 #include "kwb.h"
 
+/* Part of the usable servers that swaps at once, by the plan's objective. */
 #define IDLE_AT_ONCE_DIVISOR 4
 #define STALENESS_AT_ONCE_DIVISOR 2
 
@@ -17,8 +18,8 @@
 }
 
 /*
- * Among servers that are due, the one with the least in flight. A swap pauses
- * what runs: with slack, a busy server waits until it is idle.
+ * The server with the fewest requests in flight among those that are due. A
+ * swap pauses running requests, so with slack a busy server waits until idle.
  */
 int
 kwb_swap_pick(const struct kwb_swap *swap,
