--- a/include/kwb.h
+++ b/include/kwb.h
@@ -600,37 +600,43 @@
 uint64_t kwb_tokens_oldest(
     const struct kwb_tokens *tokens); /* oldest version; UINT64_MAX for none */
 
-/* ---- Rollout: order of a step's work, hedging -------------------------- */
+/* ---- Rollout: hedging of stalled samples, staleness of samples ---------
+ * Decisions while an entry serves a trainer's step: whether a sample whose
+ * stream stalls is resumed on another agent, and whether a finished sample is
+ * recent enough to be delivered.
+ */
 
 struct kwb_hedge_input {
-	uint32_t unstarted;	/* samples still to start */
-	uint32_t idle_units;	/* free places elsewhere */
-	uint64_t silent_ns;	/* since the last token */
-	uint64_t token_ns;	/* usual time between tokens */
-	uint64_t wasted_tokens; /* thrown away by hedges so far */
-	uint64_t generated_tokens;
+	uint32_t unstarted;	   /* samples still to start */
+	uint32_t idle_units;	   /* free slots at other agents */
+	uint64_t silent_ns;	   /* since the sample's last token */
+	uint64_t token_ns;	   /* usual time between tokens, 0 unknown */
+	uint64_t wasted_tokens;	   /* of the step, discarded so far */
+	uint64_t generated_tokens; /* of the step, so far */
 	enum kwb_objective objective;
 };
 
-bool kwb_hedge_is_due(const struct kwb_hedge_input
-	*input); /* whether to move a silent sample; pure */
+/* Whether to move a stalled sample to another agent; pure. */
+bool kwb_hedge_is_due(const struct kwb_hedge_input *input);
 
 struct kwb_sample_age {
-	uint64_t trainer_version;
-	uint64_t oldest_version;
-	uint32_t bound_versions;
+	uint64_t trainer_version; /* newest that the trainer has named */
+	uint64_t oldest_version;  /* that made one of the sample's tokens */
+	uint32_t bound_versions;  /* versions that a token may be behind */
 };
 
 bool kwb_sample_is_fresh(
     const struct kwb_sample_age *age); /* within the bound; pure */
 
-/* ---- Weights: order of swaps ------------------------------------------- */
+/* ---- Weights: order of swaps -------------------------------------------
+ * Which server of a failure domain swaps to new weights next.
+ */
 
 struct kwb_swap_server {
-	bool usable;
-	bool swapping;
-	uint64_t version;
-	uint32_t in_flight;
+	bool usable;	    /* up and not leaving */
+	bool swapping;	    /* now, or ordered to */
+	uint64_t version;   /* of its weights */
+	uint32_t in_flight; /* requests */
 };
 
 struct kwb_swap {
@@ -640,7 +646,8 @@
 };
 
 int kwb_swap_pick(const struct kwb_swap *swap,
-    const struct kwb_swap_server *servers, unsigned count); /* index or -1 */
+    const struct kwb_swap_server *servers,
+    unsigned count); /* index of the next server to order, or -1; pure */
 
 /* ---- Daemons ------------------------------------------------------------ */
 
--- a/src/rollout/decide.c
+++ b/src/rollout/decide.c
@@ -1,16 +1,18 @@
 /*
- * Decisions of a step: hedging and freshness. Pure functions.
+ * Decisions of a step: when a stalled sample is hedged, and whether a sample is
+ * within the staleness bound. Pure functions.
  */
 #include "kwb.h"
 
-#define SILENT_TOKENS 40
+#define SILENT_TOKENS 40 /* usual token times, then a sample has stalled */
 #define SILENT_MIN_NS (500 * KWB_MS_NS)
-#define WASTE_PERCENT_MAX 4
-#define WASTE_FLOOR_TOKENS 256
+#define WASTE_PERCENT_MAX 4    /* of all generated tokens */
+#define WASTE_FLOOR_TOKENS 256 /* allowed beyond that */
 
 /*
- * A copy is made only in the tail, on idle room, of a sample whose stream has
- * fallen silent, and while little has been thrown away.
+ * A sample is hedged when its stream has stalled, all samples have been
+ * started, another agent has a free slot, and few tokens have been wasted so
+ * far.
  */
 bool
 kwb_hedge_is_due(const struct kwb_hedge_input *input)
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -1,7 +1,8 @@
 /*
- * Assembly of a trainer's step: takes over what agents hold from an earlier
- * attempt, starts the rest, and streams each whole sample once, as a line of
- * JSON. What the trainer has is what the trainer says; nothing is stored here.
+ * Serves a trainer's step: attaches to samples that agents hold from an earlier
+ * attempt, starts the others, and streams each complete sample once, as a line
+ * of JSON. The entry stores nothing: the trainer's request says which samples
+ * it has.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,23 +15,26 @@
 
 #include "step.h"
 
-#define SCAN_NS (20 * KWB_MS_NS)
+#define SCAN_NS (20 * KWB_MS_NS) /* longest wait for an event */
 #define HEDGE_SCAN_NS (100 * KWB_MS_NS)
+/* With the staleness objective, for the trainer's own version. */
 #define VERSION_WAIT_NS (17000 * KWB_MS_NS)
 
 static void step_loop(struct step *step);
-static void step_fill(struct step *step);
-static uint64_t min_version(const struct step *step);
-static void step_event(struct step *step, const struct event *event);
-static void sample_done(struct step *step, struct sample *sample);
-static bool sample_acceptable(struct step *step, const struct sample *sample);
+static void samples_start(struct step *step);
+static uint64_t lowest_version(const struct step *step);
+static void step_handle_event(struct step *step, const struct event *event);
+static void sample_deliver_or_retry(struct step *step, struct sample *sample);
+static bool sample_is_acceptable(
+    struct step *step, const struct sample *sample);
 static void sample_write(struct step *step, struct sample *sample);
-static void step_hedge(struct step *step);
+static void samples_hedge(struct step *step);
 static void sample_move(struct step *step, struct sample *sample);
-static void step_end(struct step *step);
-static void step_finish(struct step *step);
-static void chunk(struct step *step, const char *text, size_t length_bytes);
-static bool step_over(struct step *step);
+static void step_write_end(struct step *step);
+static void step_free(struct step *step);
+static void chunk_send(
+    struct step *step, const char *text, size_t length_bytes);
+static bool step_is_over(struct step *step);
 
 int
 step_serve(struct kwb_entry *entry, struct mg_connection *connection,
@@ -45,80 +49,82 @@
 	step->entry = entry;
 	step->connection = connection;
 	step->number = number;
-	step->begun_ns = kwb_clock_now_ns();
-	step->deadline_ns = step->begun_ns + KWB_STEP_TIMEOUT_MS * KWB_MS_NS;
+	step->start_ns = kwb_clock_now_ns();
+	step->deadline_ns = step->start_ns + KWB_STEP_TIMEOUT_MS * KWB_MS_NS;
 	inbox_init(&step->inbox);
 	error = step_parse(step, plan, body, &fault);
 	if (error != 0) {
 		http_refuse(connection, 400, KWB_OUTCOME_NOT_RUN, error,
 		    fault ? fault : "");
-		step_finish(step);
+		step_free(step);
 		return error;
 	}
 	atomic_fetch_add(&entry->pulls, 1);
 	mg_send_http_ok(connection, "application/x-ndjson", -1);
 	if (step->attempt > 1)
-		step_find(step);
+		step_find_held(step);
 	step_loop(step);
-	step_end(step);
+	step_write_end(step);
 	atomic_fetch_sub(&entry->pulls, 1);
-	step_finish(step);
+	step_free(step);
 	return 0;
 }
 
+/* Attaches to held samples, then starts, receives and hedges until the end. */
 static void
 step_loop(struct step *step)
 {
-	uint64_t hedge_ns = 0;
+	uint64_t next_hedge_ns = 0;
 	struct event *event;
 	uint32_t i;
 
 	for (i = 0; i < step->samples_count; i++) {
 		struct sample *sample = &step->samples[i];
 
-		if (sample->delivered || !sample->attachable)
+		if (sample->delivered || !sample->is_held)
 			continue;
-		sample->attachable = false;
+		sample->is_held = false;
 		generation_attach(step->entry, &sample->generation,
 		    sample->held_vm, sample->held_key);
 	}
-	step->refill = true;
-	while (!step_over(step)) {
-		step_fill(step);
+	step->may_start = true;
+	while (!step_is_over(step)) {
+		samples_start(step);
 		event = inbox_wait(&step->inbox, kwb_clock_now_ns() + SCAN_NS);
-		step->refill = event == NULL;
+		step->may_start = event == NULL;
 		for (; event != NULL; event = inbox_wait(&step->inbox, 0)) {
-			step_event(step, event);
+			step_handle_event(step, event);
 			event_free(event);
 		}
-		if (kwb_clock_now_ns() < hedge_ns)
+		if (kwb_clock_now_ns() < next_hedge_ns)
 			continue;
-		hedge_ns = kwb_clock_now_ns() + HEDGE_SCAN_NS;
-		step_hedge(step);
+		next_hedge_ns = kwb_clock_now_ns() + HEDGE_SCAN_NS;
+		samples_hedge(step);
 	}
 }
 
 static bool
-step_over(struct step *step)
+step_is_over(struct step *step)
 {
-	return step->left == 0 || step->client_gone || step->superseded ||
+	return step->remaining == 0 || step->client_gone || step->superseded ||
 	    kwb_clock_now_ns() >= step->deadline_ns ||
 	    atomic_load(&step->entry->stopping) ||
-	    (atomic_load(&step->entry->draining) && step->delivered_now > 0);
+	    (atomic_load(&step->entry->draining) && step->delivered_count > 0);
 }
 
 /*
- * Starts what can be started. Resumed samples first: they are the tail; then
- * in the order of the pull, a group together for its shared prompt.
+ * Starts pending samples until the agents are full. Samples to resume come
+ * first, as the tail that the step waits for; then in the order of the request,
+ * so that a group shares the cache of its prompt.
  */
 static void
-step_fill(struct step *step)
+samples_start(struct step *step)
 {
-	uint64_t version = min_version(step);
+	uint64_t version = lowest_version(step);
 	uint32_t i;
 	int pass, error;
 
-	if (!step->refill)
+	if (!step->may_start)
 		return;
 	for (pass = 0; pass < 2; pass++) {
 		for (i = 0; i < step->samples_count; i++) {
@@ -140,28 +146,29 @@
 }
 
 /*
- * Looks ahead: nothing is begun on weights that would come out too old. The
- * staleness objective first waits for the trainer's own version.
+ * The oldest weights that a sample may start on, so that it is within the bound
+ * when it is delivered. The staleness objective first waits for the trainer's
+ * own version.
  */
 static uint64_t
-min_version(const struct step *step)
+lowest_version(const struct step *step)
 {
 	uint64_t newest = step->trainer_version;
 	uint32_t bound = step->bound_versions;
 
 	if (step->plan.objective == KWB_OBJECTIVE_STALENESS &&
-	    kwb_clock_now_ns() < step->begun_ns + VERSION_WAIT_NS)
+	    kwb_clock_now_ns() < step->start_ns + VERSION_WAIT_NS)
 		return newest;
 	return newest > bound ? newest - bound : 0;
 }
 
 static void
-step_event(struct step *step, const struct event *event)
+step_handle_event(struct step *step, const struct event *event)
 {
 	struct generation *generation = event->owner;
 	struct sample *sample;
 	uint32_t before;
-	uint64_t before_ns, passed_ns;
+	uint64_t before_ns, mean_ns;
 
 	if (generation == NULL)
 		return;
@@ -171,18 +178,18 @@
 	before_ns = generation->token_ns;
 	generation_event(step->entry, generation, event);
 	if (generation->tokens.count > before + 1) {
-		passed_ns = (generation->token_ns - before_ns) /
+		mean_ns = (generation->token_ns - before_ns) /
 		    (generation->tokens.count - before);
 		step->token_ns = step->token_ns
-		    ? (step->token_ns * 15 + passed_ns) / 16
-		    : passed_ns;
+		    ? (step->token_ns * 15 + mean_ns) / 16
+		    : mean_ns;
 	}
 	if (generation->tokens.count > before)
 		step->generated_tokens += generation->tokens.count - before;
 	if (generation->state == GENERATION_DONE && !sample->delivered)
-		sample_done(step, sample);
+		sample_deliver_or_retry(step, sample);
 	if (generation->state != GENERATION_RUNNING)
-		step->refill = true;
+		step->may_start = true;
 	if (generation->error == KWB_ERR_CALL_FENCED)
 		step->superseded = true;
 	if (generation->state == GENERATION_PENDING &&
@@ -193,16 +200,17 @@
 	}
 }
 
+/* Delivers a finished sample, or starts it over when it is too old. */
 static void
-sample_done(struct step *step, struct sample *sample)
+sample_deliver_or_retry(struct step *step, struct sample *sample)
 {
 	struct generation *generation = &sample->generation;
 
-	if (sample_acceptable(step, sample)) {
+	if (sample_is_acceptable(step, sample)) {
 		sample_write(step, sample);
 		return;
 	}
-	step->stale++;
+	step->stale_count++;
 	step->wasted_tokens += generation->tokens.count;
 	kwb_metric_add(KWB_METRIC_STALE, 1);
 	kwb_metric_add(KWB_METRIC_TOKENS_WASTED, generation->tokens.count);
@@ -216,15 +224,19 @@
 	generation->state = GENERATION_PENDING;
 }
 
-/* Checked when the sample is handed over, not when it was made. */
+/*
+ * Whether the sample is within the staleness bound now, at its delivery, and of
+ * one version where the plan forbids mixed ones.
+ */
 static bool
-sample_acceptable(struct step *step, const struct sample *sample)
+sample_is_acceptable(struct step *step, const struct sample *sample)
 {
 	const struct kwb_tokens *tokens = &sample->generation.tokens;
-	uint64_t named = atomic_load(&step->gate->trainer_version);
+	uint64_t announced = atomic_load(&step->gate->trainer_version);
 	struct kwb_sample_age age = {
-	    .trainer_version =
-		named > step->trainer_version ? named : step->trainer_version,
+	    .trainer_version = announced > step->trainer_version
+		? announced
+		: step->trainer_version,
 	    .oldest_version = kwb_tokens_oldest(tokens),
 	    .bound_versions = step->bound_versions,
 	};
@@ -238,6 +250,7 @@
 	return true;
 }
 
+/* Sends the sample as a line of JSON and counts it as delivered. */
 static void
 sample_write(struct step *step, struct sample *sample)
 {
@@ -269,24 +282,25 @@
 	    "checksum", checksum);
 	line = json_dumps(root, JSON_COMPACT | JSON_PRESERVE_ORDER);
 	json_decref(root);
-	chunk(step, line, strlen(line));
-	chunk(step, "\n", 1);
+	chunk_send(step, line, strlen(line));
+	chunk_send(step, "\n", 1);
 	free(line);
 	if (step->client_gone)
 		return;
 	kwb_tokens_finish(&sample->generation.tokens);
 	sample->delivered = true;
-	step->left--;
-	step->delivered_now++;
+	step->remaining--;
+	step->delivered_count++;
 	kwb_metric_add(KWB_METRIC_SAMPLES, 1);
 }
 
 /*
- * Hedging moves a stream: the copy resumes from the tokens that came, and the
- * silent original is cancelled, so that nothing is made twice.
+ * Hedges stalled samples: each is cancelled where it runs and resumed on
+ * another agent after the tokens that have arrived, so that no token is made
+ * twice.
  */
 static void
-step_hedge(struct step *step)
+samples_hedge(struct step *step)
 {
 	struct kwb_hedge_input input = {
 	    .token_ns = step->token_ns,
@@ -330,9 +344,9 @@
 	generation_start(step->entry, generation);
 }
 
-/* The end record; the stream always ends at a sample's edge. */
+/* Writes the end record, which always follows a complete sample. */
 static void
-step_end(struct step *step)
+step_write_end(struct step *step)
 {
 	char line[512];
 	int length;
@@ -340,27 +354,27 @@
 	length = snprintf(line, sizeof(line),
 	    "{\"end\":true,\"complete\":%s,\"delivered\":%u,\"left\":%u,"
 	    "\"made_again\":%u,\"reason\":\"%s\"}\n",
-	    step->left == 0 ? "true" : "false", step->delivered_now, step->left,
-	    step->stale,
-	    step->left == 0				  ? "complete"
+	    step->remaining == 0 ? "true" : "false", step->delivered_count,
+	    step->remaining, step->stale_count,
+	    step->remaining == 0			  ? "complete"
 		: step->superseded			  ? "superseded"
 		: step->client_gone			  ? "client_gone"
 		: kwb_clock_now_ns() >= step->deadline_ns ? "deadline"
 							  : "draining");
-	chunk(step, line, (size_t)length);
+	chunk_send(step, line, (size_t)length);
 	if (!step->client_gone)
 		mg_send_chunk(step->connection, "", 0);
 	kwb_log(KWB_LOG_INFO, "rollout",
 	    "event=step_end plan=%s step=%" PRIu64 " attempt=%u delivered=%u "
 	    "left=%u made_again=%u time_ms=%" PRIu64,
-	    step->plan.name, step->number, step->attempt, step->delivered_now,
-	    step->left, step->stale,
-	    (uint64_t)((kwb_clock_now_ns() - step->begun_ns) / KWB_MS_NS));
+	    step->plan.name, step->number, step->attempt, step->delivered_count,
+	    step->remaining, step->stale_count,
+	    (uint64_t)((kwb_clock_now_ns() - step->start_ns) / KWB_MS_NS));
 }
 
-/* Unfinished samples go on at their agents, for the next attempt. */
+/* Leaves unfinished samples running on their agents, for the next attempt. */
 static void
-step_finish(struct step *step)
+step_free(struct step *step)
 {
 	uint32_t i;
 
@@ -370,13 +384,13 @@
 		generation_finish(step->entry, &step->samples[i].generation);
 	}
 	inbox_finish(&step->inbox);
-	json_decref(step->pull);
+	json_decref(step->request);
 	free(step->samples);
 	free(step);
 }
 
 static void
-chunk(struct step *step, const char *text, size_t length_bytes)
+chunk_send(struct step *step, const char *text, size_t length_bytes)
 {
 	if (!step->client_gone &&
 	    mg_send_chunk(step->connection, text, (unsigned)length_bytes) < 0)
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -1,6 +1,7 @@
 /*
- * A trainer's pull: read and checked, then compared with what agents hold from
- * earlier attempts, which are fenced off by it.
+ * A trainer's request for a step: parsed and checked, then matched with the
+ * samples that agents hold from earlier attempts. Agents refuse those attempts
+ * from then on.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -8,8 +9,8 @@
 
 #include "step.h"
 
-#define FIND_NS (500 * KWB_MS_NS)
-#define SAMPLES_MAX 16384
+#define FIND_TIMEOUT_NS (500 * KWB_MS_NS) /* for the agents' answers */
+#define SAMPLES_MAX 16384		  /* of a step; the texts name it */
 
 static int groups_parse(struct step *step, json_t *groups, const char **fault);
 static void sample_init(
@@ -17,7 +18,7 @@
 static void have_parse(struct step *step, json_t *have);
 static struct sample *sample_find(
     struct step *step, uint64_t group, uint64_t index);
-static void found_take(struct step *step, const struct target *target,
+static void found_merge(struct step *step, const struct target *target,
     const Kwb__Wire__Found *found);
 
 int
@@ -39,48 +40,51 @@
 	}
 	step->gate = entry_gate(step->entry, plan);
 	entry_demand(step->entry, step->gate);
-	step->pull = json_loads(body, 0, NULL);
-	if (!json_is_object(step->pull)) {
+	step->request = json_loads(body, 0, NULL);
+	if (!json_is_object(step->request)) {
 		*fault = "body is no JSON object";
 		return KWB_ERR_ARGUMENT;
 	}
-	value = json_object_get(step->pull, "attempt");
+	value = json_object_get(step->request, "attempt");
 	step->attempt = (uint32_t)json_integer_value(value);
 	if (!json_is_integer(value) || step->attempt == 0) {
 		*fault = "attempt must be an integer from 1";
 		return KWB_ERR_ARGUMENT;
 	}
-	value = json_object_get(step->pull, "weight_version");
+	value = json_object_get(step->request, "weight_version");
 	step->trainer_version = (uint64_t)json_integer_value(value);
 	if (!json_is_integer(value)) {
 		*fault = "weight_version must be an integer";
 		return KWB_ERR_ARGUMENT;
 	}
 	step->bound_versions = step->plan.staleness_versions;
-	value = json_object_get(step->pull, "staleness_bound");
+	value = json_object_get(step->request, "staleness_bound");
 	if (json_is_integer(value) && json_integer_value(value) >= 0 &&
 	    (uint64_t)json_integer_value(value) < step->bound_versions)
 		step->bound_versions = (uint32_t)json_integer_value(value);
 	if (step->trainer_version > atomic_load(&step->gate->trainer_version))
 		atomic_store(
 		    &step->gate->trainer_version, step->trainer_version);
-	if (groups_parse(step, json_object_get(step->pull, "groups"), fault) !=
-	    0)
+	if (groups_parse(
+		step, json_object_get(step->request, "groups"), fault) != 0)
 		return KWB_ERR_ARGUMENT;
-	have_parse(step, json_object_get(step->pull, "have"));
+	have_parse(step, json_object_get(step->request, "have"));
 	return 0;
 }
 
-/* Fences earlier attempts at every agent and learns what they hold. */
+/*
+ * Fences earlier attempts at all agents of the pool and collects the samples
+ * that these hold.
+ */
 void
-step_find(struct step *step)
+step_find_held(struct step *step)
 {
 	struct target *targets = calloc(KWB_PEERS_MAX, sizeof(*targets));
 	uint64_t requests[KWB_PEERS_MAX];
 	Kwb__Wire__Find find = KWB__WIRE__FIND__INIT;
 	KWB_FRAME(frame, FIND, find, find);
 	struct kwb_entry *entry = step->entry;
-	uint64_t give_up_ns = kwb_clock_now_ns() + FIND_NS;
+	uint64_t deadline_ns = kwb_clock_now_ns() + FIND_TIMEOUT_NS;
 	struct event *event;
 	unsigned i, count, answered = 0;
 
@@ -97,7 +101,7 @@
 		kwb_link_send(&entry->loop, targets[i].link, &frame);
 	}
 	while (answered < count &&
-	    (event = inbox_wait(&step->inbox, give_up_ns)) != NULL) {
+	    (event = inbox_wait(&step->inbox, deadline_ns)) != NULL) {
 		for (i = 0; i < count; i++) {
 			if (event->request != requests[i])
 				continue;
@@ -105,7 +109,7 @@
 			if (event->kind == EVENT_FRAME &&
 			    event->frame->body_case ==
 				KWB__WIRE__FRAME__BODY_FOUND)
-				found_take(
+				found_merge(
 				    step, &targets[i], event->frame->found);
 		}
 		event_free(event);
@@ -147,7 +151,7 @@
 			sample_init(step, &step->samples[step->samples_count++],
 			    group, index);
 	}
-	step->left = step->samples_count;
+	step->remaining = step->samples_count;
 	return 0;
 }
 
@@ -183,6 +187,7 @@
 	    sample->slot.group, index);
 }
 
+/* Marks the samples that the trainer has as delivered. */
 static void
 have_parse(struct step *step, json_t *have)
 {
@@ -197,7 +202,7 @@
 		if (sample == NULL || sample->delivered)
 			continue;
 		sample->delivered = true;
-		step->left--;
+		step->remaining--;
 	}
 }
 
@@ -213,8 +218,9 @@
 	return NULL;
 }
 
+/* Notes the samples that an agent holds; the most complete copy counts. */
 static void
-found_take(struct step *step, const struct target *target,
+found_merge(struct step *step, const struct target *target,
     const Kwb__Wire__Found *found)
 {
 	size_t i;
@@ -228,12 +234,12 @@
 		sample =
 		    sample_find(step, held->slot->group, held->slot->index);
 		if (sample == NULL || sample->delivered ||
-		    (sample->attachable &&
+		    (sample->is_held &&
 			(sample->held_done ||
 			    sample->held_tokens >= held->tokens) &&
 			!(held->done && !sample->held_done)))
 			continue;
-		sample->attachable = true;
+		sample->is_held = true;
 		sample->held_done = held->done;
 		sample->held_tokens = held->tokens;
 		kwb_text_copy(
