--- a/src/weights/mover.c
+++ b/src/weights/updater.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "mover.h"
+#include "updater.h"
 
 #define ASSIGNMENTS_TABLE "homes" /* key: upstream, value: model, version */
 #define LEASE_NAME "weights"
--- a/src/weights/mover_order.c
+++ b/src/weights/updater_order.c
@@ -6,7 +6,7 @@
 #include <event2/buffer.h>
 #include <string.h>
 
-#include "mover.h"
+#include "updater.h"
 
 void
 updater_exchange_close(struct kwb_replica *replica)
