--- a/src/weights/updater.c
+++ b/src/weights/mover.c
@@ -6,13 +6,16 @@
  * upstream has accepted, so that the upstream rejects one that is out of
  * date. The lease is checked before each order. After an order without an
  * answer the upstream's state is read before the next one.
+ *
+ * In logs and in the store the updater keeps its earlier names: the module
+ * "mover", and "homes" for the assignments.
  */
 #include <event2/event.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "updater.h"
+#include "mover.h"
 
 #define ASSIGNMENTS_TABLE "homes" /* key: upstream, value: model, version */
 #define LEASE_NAME "weights"
--- a/src/weights/updater.h
+++ b/src/weights/mover.h
@@ -1,12 +1,12 @@
 /*
  * Internals of the weight updater: its replicas and the orders to them.
  */
-#ifndef KWB_WEIGHTS_UPDATER_H
-#define KWB_WEIGHTS_UPDATER_H
+#ifndef KWB_MOVER_H
+#define KWB_MOVER_H
 
 #include "kwb_node.h"
 
-/* updater.c */
+/* mover.c */
 struct kwb_upstream *updater_find_listed(
     const struct kwb_weight_updater *updater,
     const char *id); /* the upstream in the registry, or NULL */
@@ -17,7 +17,7 @@
 /* Checks soon what to order; once for answers that arrive together. */
 void updater_check_soon(struct kwb_weight_updater *updater);
 
-/* updater_snapshot.c */
+/* mover_look.c */
 /* State of all replicas at one moment; updated as orders are sent. */
 struct updater_snapshot {
 	/* by index in updater->versions */
@@ -33,7 +33,7 @@
 int updater_model_index(const struct kwb_weight_updater *updater,
     const char *model); /* in its versions, or -1 */
 
-/* updater_order.c */
+/* mover_order.c */
 void updater_exchange_close(
     struct kwb_replica *replica); /* drops an exchange in progress */
 void updater_report_start(struct kwb_replica *replica,
--- a/src/weights/updater_snapshot.c
+++ b/src/weights/mover_look.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "updater.h"
+#include "mover.h"
 
 /* Versions that weights may be behind, by the trainer's newest batch. */
 static uint64_t
--- a/src/weights/updater_order.c
+++ b/src/weights/mover_order.c
@@ -6,7 +6,7 @@
 #include <event2/buffer.h>
 #include <string.h>
 
-#include "updater.h"
+#include "mover.h"
 
 void
 updater_exchange_close(struct kwb_replica *replica)
