--- a/include/kwb.h
+++ b/include/kwb.h
@@ -620,7 +620,7 @@
 bool kwb_hedge_is_due(const struct kwb_hedge_input *input);
 
 struct kwb_sample_age {
-	uint64_t trainer_version; /* newest that the trainer has named */
+	uint64_t trainer_version; /* newest that the trainer announced */
 	uint64_t oldest_version;  /* that made one of the sample's tokens */
 	uint32_t bound_versions;  /* versions that a token may be behind */
 };
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -36,6 +36,7 @@
     struct step *step, const char *text, size_t length_bytes);
 static bool step_is_over(struct step *step);
 
+/* Serves one pull until its stream ends; 0, or the error of a bad request. */
 int
 step_serve(struct kwb_entry *entry, struct mg_connection *connection,
     const char *plan, uint64_t number, const char *body)
@@ -70,7 +71,8 @@
 	return 0;
 }
 
-/* Attaches to held samples, then starts, receives and hedges until the end. */
+/* Attaches to held samples; starts, receives and hedges samples until the end.
+ */
 static void
 step_loop(struct step *step)
 {
@@ -194,6 +196,7 @@
 		step->superseded = true;
 	if (generation->state == GENERATION_PENDING &&
 	    !step->plan.mixed_versions) {
+		/* Starts over: resumed, it could mix versions. */
 		step->wasted_tokens += generation->tokens.count;
 		kwb_tokens_finish(&generation->tokens);
 		kwb_tokens_init(&generation->tokens);
@@ -250,7 +253,10 @@
 	return true;
 }
 
-/* Sends the sample as a line of JSON and counts it as delivered. */
+/*
+ * Sends the sample as a line of JSON and counts it as delivered. A span of
+ * tokens of one version is [version, first token, count].
+ */
 static void
 sample_write(struct step *step, struct sample *sample)
 {
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -10,7 +10,7 @@
 #include "step.h"
 
 #define FIND_TIMEOUT_NS (500 * KWB_MS_NS) /* for the agents' answers */
-#define SAMPLES_MAX 16384		  /* of a step; the texts name it */
+#define SAMPLES_MAX 16384		  /* of a step; error texts name it */
 
 static int groups_parse(struct step *step, json_t *groups, const char **fault);
 static void sample_init(
@@ -187,7 +187,7 @@
 	    sample->slot.group, index);
 }
 
-/* Marks the samples that the trainer has as delivered. */
+/* Marks the samples that the trainer has, [group, index], as delivered. */
 static void
 have_parse(struct step *step, json_t *have)
 {
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -75,6 +75,7 @@
     struct leader *leader, const struct event *event);
 static void order_close(struct leader *leader, struct open_order *order);
 
+/* Thread of an entry that holds leases and orders swaps until it stops. */
 void *
 leader_run(void *argument)
 {
@@ -258,7 +259,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t version = 0, trainer_version;
 
-	/* A trainer that names a newer version has published its weights. */
+	/* A trainer announces a version after its weights are published. */
 	trainer_version = atomic_load(
 	    &entry_gate(leader->entry, lead->plan)->trainer_version);
 	if (now_ns < lead->poll_ns &&
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -7,8 +7,7 @@
  * date. The lease is checked before each order. After an order without an
  * answer the upstream's state is read before the next one.
  *
- * In logs and in the store the updater keeps its earlier names: the module
- * "mover", and "homes" for the assignments.
+ * Its log module is "mover", its table of assignments "homes".
  */
 #include <event2/event.h>
 #include <stdio.h>
--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -21,6 +21,7 @@
 static int fence_read(struct kwb_agent *agent, struct order_fence *fence);
 static int engine_swap(struct kwb_agent *agent, const Kwb__Wire__Order *order);
 
+/* Queues an order for order_run(), which frees the frame. */
 void
 order_accept(struct kwb_agent *agent, uint64_t link, Kwb__Wire__Frame *frame)
 {
@@ -40,6 +41,7 @@
 	pthread_mutex_unlock(&orders->lock);
 }
 
+/* Thread that executes orders one by one and replies to each. */
 void *
 order_run(void *argument)
 {
@@ -86,6 +88,7 @@
 	return order;
 }
 
+/* Checks the fencing token and the deadline, then swaps if that is needed. */
 static void
 order_execute(struct kwb_agent *agent, const struct order *order,
     Kwb__Wire__OrderReply *reply)
--- a/src/weights/replicas.c
+++ b/src/weights/replicas.c
@@ -148,8 +148,10 @@
 enum kwb_weight_load_urgency
 kwb_weight_load_urgency(const struct kwb_weight_load_input *input)
 {
-	uint32_t at_once = input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
-	uint32_t wanted = input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
+	uint32_t ahead_at_once =
+	    input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
+	uint32_t ahead_total =
+	    input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
 
 	if (input->version >= input->newest ||
 	    input->loading >= input->loading_max)
@@ -157,8 +159,8 @@
 	if (input->version + input->lag < input->newest ||
 	    (input->version < input->needed && input->replicas_needed == 0))
 		return KWB_WEIGHT_LOAD_NOW;
-	if (input->replicas_newest < wanted &&
-	    input->replicas_loading < (at_once > 0 ? at_once : 1) &&
+	if (input->replicas_newest < ahead_total &&
+	    input->replicas_loading < (ahead_at_once > 0 ? ahead_at_once : 1) &&
 	    input->serving > 1)
 		return KWB_WEIGHT_LOAD_AHEAD;
 	return KWB_WEIGHT_LOAD_NONE;
