--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -3,7 +3,7 @@
  * each failure domain: the entry that holds the lease and its fencing token.
  * The leader orders the domain's servers to swap to the newest version, some of
  * them at a time. The entries that rank first by rendezvous hashing try for the
- * lease. While the platform's table is out the last holder goes on: nobody else
+ * lease. While the platform's table is out the last holder remains: nobody else
  * can take the lease then, and agents refuse a lower token.
  */
 #include <inttypes.h>
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -7,7 +7,7 @@
  * date. The lease is checked before each order. After an order without an
  * answer the upstream's state is read before the next one.
  *
- * Its log module is "mover", its table of assignments "homes".
+ * Its log module is "mover"; the store keeps assignments in ASSIGNMENTS_TABLE.
  */
 #include <event2/event.h>
 #include <stdio.h>
