--- a/src/upstream/pick.c
+++ b/src/upstream/pick.c
@@ -69,7 +69,8 @@
 		criteria->min_version)
 		return true;
 	return upstream->in_flight == 0 &&
-	    criteria->now_ns - upstream->expected_since_ns >= KWB_LOAD_LEAST_NS;
+	    criteria->now_ns - upstream->expected_since_ns >=
+	    KWB_WEIGHT_LOAD_MIN_NS;
 }
 
 static bool
--- a/src/upstream/registry.c
+++ b/src/upstream/registry.c
@@ -174,7 +174,7 @@
 	return strcmp(upstream->assigned_model, model) == 0 &&
 	    upstream->expected_version >
 	    kwb_upstream_version(upstream, model) &&
-	    now_ns - upstream->expected_since_ns < KWB_LOAD_MOST_NS;
+	    now_ns - upstream->expected_since_ns < KWB_WEIGHT_LOAD_MAX_NS;
 }
 
 void
--- a/src/weights/homes.c
+++ b/src/weights/homes.c
@@ -1,70 +1,74 @@
 /*
- * Which model an upstream is kept current for. Every upstream holds all
- * models, but each change of version costs a load and a pause, so a model is
- * kept current only on its homes, as many as its share of the demand. Answers
- * a load of several trainers that each ask for a batch every few seconds.
+ * Assignment of models to upstreams, and when a replica loads new weights.
+ * Every upstream holds all models, but each new version costs a load and a
+ * pause. So a model is kept current only on its replicas, the upstreams that
+ * are assigned to it, in proportion to its demand. Meant for several trainers
+ * that each submit a batch every few seconds.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "kwb_node.h"
 
+/* The model's demand, or the mean of the known ones when it is unknown. */
 static double
-demand_of(const struct kwb_home_model *models, uint32_t count, uint32_t at)
+model_demand(
+    const struct kwb_model_demand *models, uint32_t count, uint32_t index)
 {
 	uint64_t sum = 0;
 	uint32_t known = 0;
 	uint32_t i;
 
-	if (models[at].demand != 0)
-		return (double)models[at].demand;
+	if (models[index].demand_tokens != 0)
+		return (double)models[index].demand_tokens;
 	for (i = 0; i < count; i++)
-		if (models[i].demand != 0) {
-			sum += models[i].demand;
+		if (models[i].demand_tokens != 0) {
+			sum += models[i].demand_tokens;
 			known++;
 		}
 	return known > 0 ? (double)sum / known : 1.0;
 }
 
 /*
- * Shares by demand, at least one each while there are enough: every next home
- * goes to the model with the most demand a home.
+ * Divides the upstreams among the models: each next replica goes to the model
+ * with the highest demand per replica, but first every model gets one.
  */
 static void
-shares(const struct kwb_home_model *models, uint32_t models_count,
+divide_upstreams(const struct kwb_model_demand *models, uint32_t models_count,
     uint32_t upstreams_count, uint32_t *share)
 {
-	double best_need;
-	double need;
+	double best_per_replica;
+	double per_replica;
 	uint32_t best;
-	uint32_t given;
+	uint32_t assigned;
 	uint32_t i;
 
 	memset(share, 0, models_count * sizeof(*share));
-	for (given = 0; given < upstreams_count; given++) {
+	for (assigned = 0; assigned < upstreams_count; assigned++) {
 		best = models_count;
-		best_need = -1;
+		best_per_replica = -1;
 		for (i = 0; i < models_count; i++) {
-			if (models[i].most != 0 && share[i] >= models[i].most)
+			if (models[i].replicas_max != 0 &&
+			    share[i] >= models[i].replicas_max)
 				continue;
-			need = demand_of(models, models_count, i) /
+			per_replica = model_demand(models, models_count, i) /
 			    (share[i] + 0.5);
 			if (share[i] == 0)
-				need += 1e18;
-			if (need > best_need) {
-				best_need = need;
+				per_replica += 1e18;
+			if (per_replica > best_per_replica) {
+				best_per_replica = per_replica;
 				best = i;
 			}
 		}
 		if (best == models_count)
-			break; /* no model has use for another home */
+			break; /* every model has its maximum */
 		share[best]++;
 	}
 }
 
 static int
 model_index(
-    const struct kwb_home_model *models, uint32_t count, const char *name)
+    const struct kwb_model_demand *models, uint32_t count, const char *name)
 {
 	uint32_t i;
 
@@ -74,8 +78,9 @@
 	return -1;
 }
 
+/* The model that lacks the most replicas, -1 when none lacks any. */
 static int
-neediest(const uint32_t *share, const uint32_t *have, uint32_t count)
+most_lacking(const uint32_t *share, const uint32_t *have, uint32_t count)
 {
 	int best = -1;
 	uint32_t i;
@@ -88,8 +93,9 @@
 }
 
 void
-kwb_homes_plan(struct kwb_home_upstream *upstreams, uint32_t upstreams_count,
-    const struct kwb_home_model *models, uint32_t models_count)
+kwb_replicas_assign(struct kwb_replica_assignment *upstreams,
+    uint32_t upstreams_count, const struct kwb_model_demand *models,
+    uint32_t models_count)
 {
 	uint32_t share[KWB_MODELS_MAX];
 	uint32_t have[KWB_MODELS_MAX] = {0};
@@ -99,7 +105,7 @@
 
 	if (models_count == 0 || models_count > KWB_MODELS_MAX)
 		return;
-	shares(models, models_count, upstreams_count, share);
+	divide_upstreams(models, models_count, upstreams_count, share);
 	for (i = 0; i < upstreams_count; i++) {
 		from = model_index(models, models_count, upstreams[i].model);
 		if (from < 0)
@@ -110,20 +116,20 @@
 	for (i = 0; i < upstreams_count; i++) {
 		if (upstreams[i].model[0] != '\0')
 			continue;
-		to = neediest(share, have, models_count);
+		to = most_lacking(share, have, models_count);
 		if (to < 0)
 			break;
 		kwb_text_copy(
 		    upstreams[i].model, KWB_NAME_MAX_BYTES, models[to].name);
 		have[to]++;
 	}
-	/* What a model has beyond its share goes to one that lacks it, or
-	 * rests. */
+	/* Replicas beyond a model's share go to a model that lacks some, or
+	 * become unassigned. */
 	for (i = 0; i < upstreams_count; i++) {
 		from = model_index(models, models_count, upstreams[i].model);
 		if (from < 0 || have[from] <= share[from])
 			continue;
-		to = neediest(share, have, models_count);
+		to = most_lacking(share, have, models_count);
 		have[from]--;
 		kwb_text_copy(upstreams[i].model, KWB_NAME_MAX_BYTES,
 		    to < 0 ? "" : models[to].name);
@@ -133,26 +139,29 @@
 }
 
 /*
- * A load takes an upstream away from its model for about a second, and only
- * some can load at once. With weights that are `lag` versions old a batch is
- * still served, so most homes are loaded while the batches before go on, some
- * at a time; the rest takes every other version, when it has to. So a batch
- * finds most homes ready as it comes.
+ * A load keeps a replica from serving for about a second, and only some can
+ * load at once. A batch accepts weights up to `lag` versions old. So most
+ * replicas load ahead, a few at a time, while earlier batches still run. The
+ * rest load only when their weights become too old, which skips every other
+ * version. So a new batch finds most replicas ready.
  */
-enum kwb_load
-kwb_load_wanted(const struct kwb_load_input *input)
+enum kwb_weight_load_urgency
+kwb_weight_load_urgency(const struct kwb_weight_load_input *input)
 {
-	uint32_t part = input->homes / KWB_LOAD_HOMES_PART;
-	uint32_t ahead = input->homes * KWB_LOAD_AHEAD_PERCENT / 100;
+	uint32_t ahead_at_once =
+	    input->replicas / KWB_WEIGHT_LOAD_AHEAD_DIVISOR;
+	uint32_t ahead_total =
+	    input->replicas * KWB_WEIGHT_LOAD_AHEAD_PERCENT / 100;
 
 	if (input->version >= input->newest ||
 	    input->loading >= input->loading_max)
-		return KWB_LOAD_NO;
+		return KWB_WEIGHT_LOAD_NONE;
 	if (input->version + input->lag < input->newest ||
-	    (input->version < input->needed && input->homes_needed == 0))
-		return KWB_LOAD_NOW;
-	if (input->homes_newest < ahead &&
-	    input->homes_loading < (part > 0 ? part : 1) && input->serving > 1)
-		return KWB_LOAD_SOON;
-	return KWB_LOAD_NO;
+	    (input->version < input->needed && input->replicas_needed == 0))
+		return KWB_WEIGHT_LOAD_NOW;
+	if (input->replicas_newest < ahead_total &&
+	    input->replicas_loading < (ahead_at_once > 0 ? ahead_at_once : 1) &&
+	    input->serving > 1)
+		return KWB_WEIGHT_LOAD_AHEAD;
+	return KWB_WEIGHT_LOAD_NONE;
 }
