--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -23,7 +23,7 @@
 
 /* ---- Net: sockets ----------------------------------------------------- */
 
-void kwb_socket_no_delay(int fd); /* small writes go out at once */
+void kwb_socket_set_no_delay(int fd); /* small writes go out at once */
 int kwb_socket_listen(struct event_base *base,
     const struct kwb_address *address,
     void (*on_accept)(struct evconnlistener *listener, int fd,
@@ -35,18 +35,18 @@
 /* ---- Net: HTTP/1.1 messages ------------------------------------------- */
 
 struct kwb_header {
-	uint32_t name_at;  /* offset into kwb_message.text */
-	uint32_t value_at; /* offset into kwb_message.text */
+	uint32_t name_offset;  /* offset into kwb_message.text */
+	uint32_t value_offset; /* offset into kwb_message.text */
 };
 
 struct kwb_message {
 	char method[16];
 	uint16_t status; /* of an answer */
-	uint32_t target_at;
+	uint32_t target_offset;
 	struct kwb_buf text; /* target, names and values, each ended by NUL */
 	struct kwb_header *headers;
 	uint32_t headers_count;
-	uint32_t headers_room;
+	uint32_t headers_capacity;
 	struct kwb_buf body;
 	bool keep_alive;
 };
@@ -58,11 +58,11 @@
     const struct kwb_message *message); /* path and query */
 const char *kwb_message_header(const struct kwb_message *message,
     const char *name); /* first value of that name, NULL for none */
-const char *kwb_message_name(
+const char *kwb_message_header_name(
     const struct kwb_message *message, uint32_t index); /* name by index */
-const char *kwb_message_value(
+const char *kwb_message_header_value(
     const struct kwb_message *message, uint32_t index); /* value by index */
-int kwb_message_add(struct kwb_message *message, const char *name,
+int kwb_message_add_header(struct kwb_message *message, const char *name,
     const char *value); /* appends a header */
 int kwb_message_copy(struct kwb_message *to,
     const struct kwb_message *from); /* head and body, into an empty one */
@@ -72,13 +72,13 @@
 struct kwb_conn;
 
 /* Bytes of bodies that several connections hold together. */
-struct kwb_hold {
+struct kwb_body_budget {
 	uint64_t bytes;
 	uint64_t max_bytes;
 };
 
 struct kwb_conn_ops {
-	void (*on_head)(struct kwb_conn *conn); /* may set conn->streaming */
+	void (*on_head)(struct kwb_conn *conn); /* may set conn->is_streaming */
 	void (*on_data)(struct kwb_conn *conn); /* more in message.body */
 	void (*on_message)(struct kwb_conn *conn);
 	void (*on_close)(struct kwb_conn *conn, int error);
@@ -93,19 +93,20 @@
 	uint32_t head_bytes;
 	uint32_t head_max_bytes;
 	uint64_t body_max_bytes;
-	struct kwb_hold *hold; /* counts bodies with those of others, or NULL */
-	uint64_t held_bytes;   /* of this one */
-	bool server;	       /* parses requests */
-	bool streaming;	       /* on_data tells of body bytes as they arrive */
-	bool no_body;	       /* answer to HEAD */
-	bool value_open;
-	bool head_done;
-	bool body_over; /* announced longer than allowed */
-	bool head_told;
-	bool complete;
-	bool connected;
-	bool closing; /* ends once all output is written */
-	bool *gone;   /* set when finished inside a callback */
+	struct kwb_body_budget
+	    *body_budget; /* counts bodies with those of others, or NULL */
+	uint64_t budgeted_bytes; /* of this one */
+	bool is_server;		 /* parses requests */
+	bool is_streaming; /* on_data tells of body bytes as they arrive */
+	bool has_no_body;  /* answer to HEAD */
+	bool is_in_header_value;
+	bool has_head;
+	bool is_body_too_large; /* announced longer than allowed */
+	bool is_head_reported;
+	bool is_complete;
+	bool is_connected;
+	bool is_closing;   /* ends once all output is written */
+	bool *is_finished; /* set when finished inside a callback */
 };
 
 int kwb_conn_accept(struct kwb_conn *conn, struct event_base *base, int fd,
@@ -115,23 +116,25 @@
     void *context);			     /* begins a connection */
 void kwb_conn_finish(struct kwb_conn *conn); /* closes; no callback follows */
 void kwb_conn_reset(struct kwb_conn *conn);  /* closes with a TCP reset */
-void kwb_conn_next(struct kwb_conn *conn);   /* reads the next message */
-void kwb_conn_end(struct kwb_conn *conn);    /* closes after all is written */
+void kwb_conn_read_next(struct kwb_conn *conn); /* reads the next message */
+void kwb_conn_close_when_written(
+    struct kwb_conn *conn); /* closes after all is written */
 struct evbuffer *kwb_conn_output(struct kwb_conn *conn);
 
 /* ---- Net: exchanges over kept connections ------------------------------- */
 
-struct kwb_line; /* a kept connection to one address */
-TAILQ_HEAD(kwb_lines, kwb_line);
+struct kwb_pooled_conn; /* a kept connection to one address */
+TAILQ_HEAD(kwb_pooled_conns, kwb_pooled_conn);
 
 struct kwb_client {
 	struct event_base *base;
-	struct kwb_lines idle;
-	struct event *sweep;
+	struct kwb_pooled_conns idle_conns;
+	struct event *sweep_timer;
 	uint32_t idle_count;
 	uint64_t opened_count;
 	uint64_t answer_max_bytes; /* a longer body is an error */
-	struct kwb_hold hold;	   /* of all answers that are being read */
+	struct kwb_body_budget
+	    body_budget; /* of all answers that are being read */
 };
 
 struct kwb_exchange;
@@ -147,16 +150,16 @@
 	const struct kwb_exchange_ops *ops;
 	void *context;
 	struct kwb_client *client;
-	struct kwb_line *line;
+	struct kwb_pooled_conn *pooled;
 	struct event *timer;
-	uint64_t deadline_ns;	     /* no answer after this; 0 for none */
-	uint64_t silent_deadline_ns; /* moves on with each byte; 0 for none */
-	uint64_t silence_ns;	     /* allowed between bytes */
+	uint64_t deadline_ns;	      /* no answer after this; 0 for none */
+	uint64_t silence_deadline_ns; /* moves on with each byte; 0 for none */
+	uint64_t max_silence_ns;      /* allowed between bytes */
 	uint64_t connect_deadline_ns;
-	bool streaming;
-	bool fresh;		   /* wants a new connection */
-	bool reused;		   /* went out on a kept connection */
-	bool no_body;		   /* request was a HEAD */
+	bool is_streaming;
+	bool wants_new_conn;	   /* wants a new connection */
+	bool is_conn_reused;	   /* went out on a kept connection */
+	bool has_no_body;	   /* request was a HEAD */
 	struct kwb_message answer; /* once it is whole */
 };
 
@@ -165,64 +168,65 @@
 void kwb_client_finish(struct kwb_client *client);	 /* closes the idle */
 bool kwb_client_has_idle(const struct kwb_client *client,
     const struct kwb_address *address); /* a kept connection is free */
-void kwb_client_drop(struct kwb_client *client,
+void kwb_client_close_idle(struct kwb_client *client,
     const struct kwb_address *address); /* closes idle ones to an address */
 int kwb_exchange_start(struct kwb_exchange *exchange, struct kwb_client *client,
     const struct kwb_address *address,
     struct evbuffer *request); /* takes the bytes of request */
-bool kwb_exchange_connected(
+bool kwb_exchange_is_connected(
     const struct kwb_exchange *exchange); /* has an open connection */
 void kwb_exchange_finish(struct kwb_exchange
 	*exchange); /* closes what is in progress, frees the answer */
-struct kwb_message *kwb_exchange_message(
+struct kwb_message *kwb_exchange_answer(
     struct kwb_exchange *exchange); /* the answer so far */
 
 /* ---- Net: server-sent events ------------------------------------------- */
 
-struct kwb_event {
+struct kwb_sse_event {
 	uint64_t id;
 	bool has_id;
 	uint64_t version; /* of the weights, 0 when not named */
 	struct kwb_buf data;
 };
 
-struct kwb_events {
+struct kwb_sse_parser {
 	const char *version_field; /* field that names the weights' version */
 	struct kwb_buf line;
-	struct kwb_event event;
-	bool open; /* a field of the current event has been read */
+	struct kwb_sse_event event;
+	bool has_field; /* a field of the current event has been read */
 };
 
-void kwb_events_init(
-    struct kwb_events *events, const char *version_field); /* none yet */
-void kwb_events_finish(struct kwb_events *events);	   /* frees it */
-size_t kwb_events_whole(const struct kwb_buf *bytes,
+void kwb_sse_parser_init(
+    struct kwb_sse_parser *parser, const char *version_field); /* none yet */
+void kwb_sse_parser_finish(struct kwb_sse_parser *parser);     /* frees it */
+size_t kwb_sse_whole_bytes(const struct kwb_buf *bytes,
     uint64_t *last_id); /* length of the whole events in front */
-int kwb_events_feed(struct kwb_events *events, struct kwb_buf *bytes,
-    void (*on_event)(void *context, const struct kwb_event *event),
+int kwb_sse_parser_feed(struct kwb_sse_parser *parser, struct kwb_buf *bytes,
+    void (*on_event)(void *context, const struct kwb_sse_event *event),
     void *context); /* takes all bytes, tells of whole events */
 
 /* ---- Index of items by name ---------------------------------------------- */
 
 struct kwb_index_slot {
 	const char *name;
-	void *item;
+	void *value;
 };
 
 struct kwb_index {
 	struct kwb_index_slot *slots;
-	uint32_t room; /* a power of two */
-	uint32_t used; /* removed ones, too */
+	uint32_t capacity;   /* a power of two */
+	uint32_t used_slots; /* removed ones, too */
 };
 
 uint64_t kwb_text_hash(const char *text,
-    uint64_t before); /* of the text and what was before it, 0 for nothing */
+    uint64_t
+	previous_hash); /* of the text and what was before it, 0 for nothing */
 void kwb_index_init(struct kwb_index *index);	/* empty */
 void kwb_index_finish(struct kwb_index *index); /* frees it, not the items */
 void *kwb_index_get(
     const struct kwb_index *index, const char *name); /* NULL for none */
 int kwb_index_put(struct kwb_index *index, const char *name,
-    void *item); /* the name lives as long as the item */
+    void *value); /* the name lives as long as the item */
 void kwb_index_remove(struct kwb_index *index, const char *name);
 
 /* ---- Text --------------------------------------------------------------- */
@@ -235,9 +239,9 @@
 /* ---- Timers ------------------------------------------------------------- */
 
 struct event *kwb_timer_new(struct event_base *base,
-    void (*on_time)(int fd, short what, void *context),
+    void (*on_timer)(int fd, short what, void *context),
     void *context); /* not armed */
-void kwb_timer_at(
+void kwb_timer_arm(
     struct event *timer, uint64_t deadline_ns); /* arms for a deadline */
 uint64_t kwb_boot_now_ns(void); /* counts time while suspended, too */
 
--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -31,7 +31,7 @@
 	struct kwb_batch *batch;
 	const struct kwb_batch_item *item;
 	struct kwb_exchange exchange;
-	struct kwb_events events;
+	struct kwb_sse_parser events;
 	struct kwb_upstream *upstream; /* while running */
 	struct kwb_buf text;
 	uint64_t last_event;
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -30,7 +30,7 @@
 		return;
 	}
 	end->reading = true;
-	kwb_timer_at(end->timer, now_ns + KWB_BATCH_RETRY_NS);
+	kwb_timer_arm(end->timer, now_ns + KWB_BATCH_RETRY_NS);
 }
 
 static void
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -129,7 +129,7 @@
 	}
 	if (!batches->pump_armed && !TAILQ_EMPTY(&batches->running)) {
 		batches->pump_armed = true;
-		kwb_timer_at(batches->pump,
+		kwb_timer_arm(batches->pump,
 		    kwb_clock_now_ns() +
 			(left ? KWB_PUMP_NS : KWB_MOVE_LOOK_NS));
 	}
@@ -139,7 +139,7 @@
 kwb_batches_kick(struct kwb_batches *batches)
 {
 	batches->pump_armed = true;
-	kwb_timer_at(batches->pump, 0);
+	kwb_timer_arm(batches->pump, 0);
 }
 
 void
--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -336,7 +336,7 @@
 own_look(struct kwb_batches *batches)
 {
 	/* On the loop's next turn: callers may be inside of a batch. */
-	kwb_timer_at(batches->minder, 0);
+	kwb_timer_arm(batches->minder, 0);
 }
 
 void
@@ -418,7 +418,7 @@
 		    batches->env->store, &range, &batches->look);
 	}
 	sweep_look(batches);
-	kwb_timer_at(batches->minder, next_ns);
+	kwb_timer_arm(batches->minder, next_ns);
 }
 
 int
@@ -428,7 +428,7 @@
 	    kwb_timer_new(batches->env->base, minder_time, batches);
 	if (batches->minder == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(batches->minder, kwb_clock_now_ns() + KWB_MINDER_NS);
+	kwb_timer_arm(batches->minder, kwb_clock_now_ns() + KWB_MINDER_NS);
 	return 0;
 }
 
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -37,7 +37,7 @@
 		read_done(read, error);
 		return;
 	}
-	kwb_timer_at(read->timer, now_ns + KWB_READ_RETRY_NS);
+	kwb_timer_arm(read->timer, now_ns + KWB_READ_RETRY_NS);
 }
 
 static void
@@ -125,7 +125,7 @@
 		results_send(read, answer);
 		return;
 	}
-	kwb_timer_at(read->timer, kwb_clock_now_ns() + KWB_READ_POLL_NS);
+	kwb_timer_arm(read->timer, kwb_clock_now_ns() + KWB_READ_POLL_NS);
 }
 
 static void
@@ -313,5 +313,5 @@
 	TAILQ_FOREACH (read, &batches->reads, entry)
 		if (strcmp(read->batch, batch) == 0 &&
 		    read->call.pending == NULL)
-			kwb_timer_at(read->timer, 0);
+			kwb_timer_arm(read->timer, 0);
 }
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -35,7 +35,7 @@
 {
 	if (run->upstream != NULL) {
 		kwb_exchange_finish(&run->exchange);
-		kwb_events_finish(&run->events);
+		kwb_sse_parser_finish(&run->events);
 		run->upstream->in_flight--;
 		kwb_upstream_drop(
 		    run_env(run)->forward->registry, run->upstream);
@@ -119,7 +119,7 @@
 }
 
 static void
-on_event(void *context, const struct kwb_event *event)
+on_event(void *context, const struct kwb_sse_event *event)
 {
 	struct item_run *run = context;
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -157,7 +157,7 @@
 	struct kwb_upstream_answer answer;
 
 	run_env(run)->forward->dialect->read_answer(
-	    kwb_exchange_message(exchange), &answer);
+	    kwb_exchange_answer(exchange), &answer);
 	if (answer.has_load) {
 		run->upstream->reported = answer.running + answer.waiting;
 		run->upstream->reported_own = run->upstream->in_flight;
@@ -167,7 +167,7 @@
 	    (answer.id != NULL && strcmp(answer.id, run->item->id) != 0))
 		return;
 	kwb_upstream_ok(run->upstream);
-	exchange->streaming = true;
+	exchange->is_streaming = true;
 	if (answer.version != 0) {
 		run->version = answer.version;
 		kwb_upstream_set_version(
@@ -186,8 +186,8 @@
 	struct item_run *run = exchange->context;
 	const struct kwb_route_entry *route;
 
-	if (kwb_events_feed(&run->events, &kwb_exchange_message(exchange)->body,
-		on_event, run) != 0)
+	if (kwb_sse_parser_feed(&run->events,
+		&kwb_exchange_answer(exchange)->body, on_event, run) != 0)
 		run->order_broken = true;
 	if (run->version < run->batch->spec.min_version) {
 		run_retry(run, 0, "weights_too_old");
@@ -248,7 +248,7 @@
 		run_retry(run, 0, kwb_error_name(error));
 		return;
 	}
-	if (exchange->streaming) {
+	if (exchange->is_streaming) {
 		if (run->last_event == 0) {
 			run_retry(run, KWB_ITEM_RETRY_NS, "empty_stream");
 			return;
@@ -261,7 +261,7 @@
 		return;
 	}
 	run_env(run)->forward->dialect->read_answer(
-	    kwb_exchange_message(exchange), &answer);
+	    kwb_exchange_answer(exchange), &answer);
 	run_refused(run, &answer);
 }
 
@@ -311,13 +311,13 @@
 	memset(&run->exchange, 0, sizeof(run->exchange));
 	run->exchange.ops = &exchange_ops;
 	run->exchange.context = run;
-	run->exchange.silence_ns = KWB_ITEM_SILENCE_NS;
+	run->exchange.max_silence_ns = KWB_ITEM_SILENCE_NS;
 	run->upstream = upstream;
 	run->state = ITEM_RUNNING;
 	run->order_broken = false;
 	run->event_ns = 0;
 	run->begin_ns = kwb_clock_now_ns();
-	kwb_events_init(&run->events, env->dialect->version_field);
+	kwb_sse_parser_init(&run->events, env->dialect->version_field);
 	kwb_upstream_hold(upstream);
 	upstream->in_flight++;
 	upstream->probing = upstream->failures >= KWB_SUSPECT_FAILURES;
--- a/src/core/index.c
+++ b/src/core/index.c
@@ -6,15 +6,16 @@
 
 #include "kwb_node.h"
 
-#define SLOTS_FIRST 64
+#define INITIAL_CAPACITY 64
 
 /* In place of a name that was removed: the search goes on behind it. */
-static const char removed[] = "";
+static const char tombstone[] = "";
 
 uint64_t
-kwb_text_hash(const char *text, uint64_t before)
+kwb_text_hash(const char *text, uint64_t previous_hash)
 {
-	uint64_t hash = before ? before : 14695981039346656037u; /* FNV-1a */
+	uint64_t hash =
+	    previous_hash ? previous_hash : 14695981039346656037u; /* FNV-1a */
 
 	for (; *text != '\0'; text++)
 		hash = (hash ^ (unsigned char)*text) * 1099511628211u;
@@ -22,7 +23,7 @@
 }
 
 static uint32_t
-hash_of(const char *name)
+name_hash(const char *name)
 {
 	return (uint32_t)kwb_text_hash(name, 0);
 }
@@ -43,57 +44,58 @@
 static struct kwb_index_slot *
 slot_find(const struct kwb_index *index, const char *name)
 {
-	uint32_t at;
+	uint32_t slot_index;
 
-	if (index->room == 0)
+	if (index->capacity == 0)
 		return NULL;
-	for (at = hash_of(name);; at++) {
+	for (slot_index = name_hash(name);; slot_index++) {
 		struct kwb_index_slot *slot =
-		    &index->slots[at & (index->room - 1)];
+		    &index->slots[slot_index & (index->capacity - 1)];
 
 		if (slot->name == NULL)
 			return NULL;
-		if (slot->name != removed && strcmp(slot->name, name) == 0)
+		if (slot->name != tombstone && strcmp(slot->name, name) == 0)
 			return slot;
 	}
 }
 
 static void
-slot_fill(struct kwb_index *index, const char *name, void *item)
+slot_insert(struct kwb_index *index, const char *name, void *value)
 {
-	uint32_t at = hash_of(name);
+	uint32_t slot_index = name_hash(name);
 
-	while (index->slots[at & (index->room - 1)].name != NULL)
-		at++;
-	index->slots[at & (index->room - 1)].name = name;
-	index->slots[at & (index->room - 1)].item = item;
-	index->used++;
+	while (index->slots[slot_index & (index->capacity - 1)].name != NULL)
+		slot_index++;
+	index->slots[slot_index & (index->capacity - 1)].name = name;
+	index->slots[slot_index & (index->capacity - 1)].value = value;
+	index->used_slots++;
 }
 
 static int
 index_grow(struct kwb_index *index)
 {
 	struct kwb_index old = *index;
-	uint32_t live = 0;
+	uint32_t live_slots = 0;
 	uint32_t i;
 
-	for (i = 0; i < old.room; i++)
-		live +=
-		    old.slots[i].name != NULL && old.slots[i].name != removed;
-	/* Where removed names fill it, the same room is made new. */
-	if (old.room == 0)
-		index->room = SLOTS_FIRST;
-	else if (live * 4 >= old.room)
-		index->room = old.room * 2;
-	index->slots = calloc(index->room, sizeof(*index->slots));
+	for (i = 0; i < old.capacity; i++)
+		live_slots +=
+		    old.slots[i].name != NULL && old.slots[i].name != tombstone;
+	/* Where removed names fill it, the same capacity is made new. */
+	if (old.capacity == 0)
+		index->capacity = INITIAL_CAPACITY;
+	else if (live_slots * 4 >= old.capacity)
+		index->capacity = old.capacity * 2;
+	index->slots = calloc(index->capacity, sizeof(*index->slots));
 	if (index->slots == NULL) {
 		*index = old;
 		return KWB_ERR_MEMORY;
 	}
-	index->used = 0;
-	for (i = 0; i < old.room; i++)
-		if (old.slots[i].name != NULL && old.slots[i].name != removed)
-			slot_fill(index, old.slots[i].name, old.slots[i].item);
+	index->used_slots = 0;
+	for (i = 0; i < old.capacity; i++)
+		if (old.slots[i].name != NULL && old.slots[i].name != tombstone)
+			slot_insert(
+			    index, old.slots[i].name, old.slots[i].value);
 	free(old.slots);
 	return 0;
 }
@@ -103,22 +105,22 @@
 {
 	const struct kwb_index_slot *slot = slot_find(index, name);
 
-	return slot ? slot->item : NULL;
+	return slot ? slot->value : NULL;
 }
 
 int
-kwb_index_put(struct kwb_index *index, const char *name, void *item)
+kwb_index_put(struct kwb_index *index, const char *name, void *value)
 {
 	struct kwb_index_slot *slot = slot_find(index, name);
 
 	if (slot != NULL) {
 		slot->name = name;
-		slot->item = item;
+		slot->value = value;
 		return 0;
 	}
-	if (index->used * 2 >= index->room && index_grow(index) != 0)
+	if (index->used_slots * 2 >= index->capacity && index_grow(index) != 0)
 		return KWB_ERR_MEMORY;
-	slot_fill(index, name, item);
+	slot_insert(index, name, value);
 	return 0;
 }
 
@@ -129,6 +131,6 @@
 
 	if (slot == NULL)
 		return;
-	slot->name = removed;
-	slot->item = NULL;
+	slot->name = tombstone;
+	slot->value = NULL;
 }
--- a/src/core/timer.c
+++ b/src/core/timer.c
@@ -10,13 +10,13 @@
 
 struct event *
 kwb_timer_new(struct event_base *base,
-    void (*on_time)(int fd, short what, void *context), void *context)
+    void (*on_timer)(int fd, short what, void *context), void *context)
 {
-	return event_new(base, -1, 0, on_time, context);
+	return event_new(base, -1, 0, on_timer, context);
 }
 
 void
-kwb_timer_at(struct event *timer, uint64_t deadline_ns)
+kwb_timer_arm(struct event *timer, uint64_t deadline_ns)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t left_us =
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -148,7 +148,7 @@
 attempt_answered(struct kwb_forward_attempt *attempt)
 {
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_message *message = kwb_exchange_message(&attempt->exchange);
+	struct kwb_message *message = kwb_exchange_answer(&attempt->exchange);
 	struct kwb_upstream *upstream = attempt->upstream;
 	struct kwb_upstream_answer answer;
 
@@ -176,7 +176,7 @@
 		attempt_failed(attempt, false, "upstream_error");
 		return;
 	}
-	if (forward->streamed && !attempt->exchange.streaming) {
+	if (forward->streamed && !attempt->exchange.is_streaming) {
 		attempt_failed(attempt, false, "not_resumed");
 		return;
 	}
@@ -216,7 +216,7 @@
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_message *message = kwb_exchange_message(exchange);
+	struct kwb_message *message = kwb_exchange_answer(exchange);
 	struct kwb_upstream_answer answer;
 
 	if (forward->on_data == NULL)
@@ -226,7 +226,7 @@
 	    !is_ours(forward, &answer))
 		return;
 	kwb_upstream_ok(attempt->upstream);
-	exchange->streaming = true;
+	exchange->is_streaming = true;
 	if (forward->streamed)
 		return; /* goes on under the head of its first upstream */
 	forward->streamed = true;
@@ -242,7 +242,7 @@
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_buf *body = &kwb_exchange_message(exchange)->body;
+	struct kwb_buf *body = &kwb_exchange_answer(exchange)->body;
 	struct kwb_buf whole = {0};
 	size_t length;
 
@@ -250,7 +250,8 @@
 		forward->on_data(forward, body);
 		return;
 	}
-	if (forward->held.used_bytes + body->used_bytes > KWB_EVENT_MAX_BYTES) {
+	if (forward->held.used_bytes + body->used_bytes >
+	    KWB_SSE_EVENT_MAX_BYTES) {
 		forward_end(forward, KWB_FORWARD_UNKNOWN, "event_too_long");
 		return;
 	}
@@ -259,7 +260,7 @@
 		return;
 	}
 	body->used_bytes = 0;
-	length = kwb_events_whole(&forward->held, &forward->last_event);
+	length = kwb_sse_whole_bytes(&forward->held, &forward->last_event);
 	if (length == 0)
 		return;
 	forward->request.resume_after = forward->last_event;
@@ -288,10 +289,10 @@
 	attempt->exchange.context = attempt;
 	attempt->exchange.deadline_ns =
 	    forward->deadline_ns + KWB_FORWARD_MARGIN_NS;
-	attempt->exchange.fresh = !forward->repeatable;
+	attempt->exchange.wants_new_conn = !forward->repeatable;
 	if (forward->resumes)
-		attempt->exchange.silence_ns = KWB_ITEM_SILENCE_NS;
-	attempt->exchange.no_body =
+		attempt->exchange.max_silence_ns = KWB_ITEM_SILENCE_NS;
+	attempt->exchange.has_no_body =
 	    strcmp(forward->request.method, "HEAD") == 0;
 	attempt->started_ns = kwb_clock_now_ns();
 	attempt->upstream = upstream;
@@ -347,7 +348,7 @@
 		next_ns = forward->retry_ns;
 	if (forward->hedge_ns != 0 && forward->hedge_ns < next_ns)
 		next_ns = forward->hedge_ns;
-	kwb_timer_at(forward->timer, next_ns);
+	kwb_timer_arm(forward->timer, next_ns);
 }
 
 /* Whether any upstream of the service is there at all. */
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -1,7 +1,7 @@
 /*
  * Exchanges with servers over kept connections, one exchange at a time on
- * each. A connection goes back to the idle ones only after a whole answer with
- * nothing behind it.
+ * each. A connection goes back to the idle ones only after a whole answer
+ * with nothing behind it.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -11,154 +11,160 @@
 
 #include "kwb_node.h"
 
-struct kwb_line {
+struct kwb_pooled_conn {
 	struct kwb_conn conn;
 	struct kwb_client *client;
 	struct kwb_address address;
 	struct kwb_exchange *exchange; /* NULL while idle */
 	uint64_t idle_deadline_ns;
-	TAILQ_ENTRY(kwb_line) entry;
+	TAILQ_ENTRY(kwb_pooled_conn) entry;
 };
 
-/* Closes an idle line. */
+/* Closes an idle connection. */
 static void
-line_free(struct kwb_line *line)
+pooled_free(struct kwb_pooled_conn *pooled)
 {
-	TAILQ_REMOVE(&line->client->idle, line, entry);
-	line->client->idle_count--;
-	kwb_conn_finish(&line->conn);
-	free(line);
+	TAILQ_REMOVE(&pooled->client->idle_conns, pooled, entry);
+	pooled->client->idle_count--;
+	kwb_conn_finish(&pooled->conn);
+	free(pooled);
 }
 
 static bool
-line_is_to(const struct kwb_line *line, const struct kwb_address *address)
+pooled_is_to(
+    const struct kwb_pooled_conn *pooled, const struct kwb_address *address)
 {
-	return line->address.port == address->port &&
-	    strcmp(line->address.ip, address->ip) == 0;
+	return pooled->address.port == address->port &&
+	    strcmp(pooled->address.ip, address->ip) == 0;
 }
 
-/* How long the server keeps an idle connection, by its Keep-Alive header. */
+/* How long the server keeps an idle connection, by its Keep-Alive header.
+ */
 static uint64_t
-keep_ns(const struct kwb_message *message)
+idle_limit_ns(const struct kwb_message *message)
 {
 	const char *text = kwb_message_header(message, "Keep-Alive");
 	const char *seconds = text ? strstr(text, "timeout=") : NULL;
-	uint64_t keep_ms = KWB_IDLE_KEEP_MS;
+	uint64_t limit_ms = KWB_IDLE_DEFAULT_MS;
 
 	if (seconds != NULL)
-		keep_ms =
+		limit_ms =
 		    strtoull(seconds + strlen("timeout="), NULL, 10) * 1000;
-	if (keep_ms <= KWB_IDLE_MARGIN_MS)
+	if (limit_ms <= KWB_IDLE_MARGIN_MS)
 		return 0;
-	return (keep_ms - KWB_IDLE_MARGIN_MS) * KWB_MS_NS;
+	return (limit_ms - KWB_IDLE_MARGIN_MS) * KWB_MS_NS;
 }
 
-/* Takes the line from its exchange and keeps it for idle_ns, 0 to close. */
+/* Takes the connection from its exchange and keeps it for idle_ns, 0 to close.
+ */
 static void
-exchange_detach(struct kwb_exchange *exchange, uint64_t idle_ns)
+exchange_release_conn(struct kwb_exchange *exchange, uint64_t idle_ns)
 {
-	struct kwb_line *line = exchange->line;
+	struct kwb_pooled_conn *pooled = exchange->pooled;
 	struct kwb_client *client = exchange->client;
 
-	exchange->line = NULL;
+	exchange->pooled = NULL;
 	if (exchange->timer != NULL)
 		event_free(exchange->timer);
 	exchange->timer = NULL;
-	if (line == NULL)
+	if (pooled == NULL)
 		return;
-	if (idle_ns == 0 || client->idle_count >= KWB_IDLE_LINES_MAX ||
-	    evbuffer_get_length(bufferevent_get_input(line->conn.bev)) > 0) {
-		kwb_conn_finish(&line->conn);
-		free(line);
+	if (idle_ns == 0 || client->idle_count >= KWB_IDLE_CONNS_MAX ||
+	    evbuffer_get_length(bufferevent_get_input(pooled->conn.bev)) > 0) {
+		kwb_conn_finish(&pooled->conn);
+		free(pooled);
 		return;
 	}
-	line->exchange = NULL;
-	line->idle_deadline_ns = kwb_clock_now_ns() + idle_ns;
-	TAILQ_INSERT_HEAD(&client->idle, line, entry);
+	pooled->exchange = NULL;
+	pooled->idle_deadline_ns = kwb_clock_now_ns() + idle_ns;
+	TAILQ_INSERT_HEAD(&client->idle_conns, pooled, entry);
 	client->idle_count++;
-	kwb_conn_next(&line->conn);
+	kwb_conn_read_next(&pooled->conn);
 }
 
 static void
 exchange_end(struct kwb_exchange *exchange, int error)
 {
 	if (error != 0)
-		exchange_detach(exchange, 0);
+		exchange_release_conn(exchange, 0);
 	exchange->ops->on_done(exchange, error);
 }
 
 static void
-line_head(struct kwb_conn *conn)
+pooled_on_head(struct kwb_conn *conn)
 {
-	struct kwb_line *line = conn->context;
-	struct kwb_exchange *exchange = line->exchange;
+	struct kwb_pooled_conn *pooled = conn->context;
+	struct kwb_exchange *exchange = pooled->exchange;
 
 	if (exchange == NULL) {
-		line_free(line); /* an answer to nothing, maybe without end */
+		pooled_free(
+		    pooled); /* an answer to nothing, maybe without end */
 		return;
 	}
-	if (exchange->silence_ns != 0)
-		exchange->silent_deadline_ns =
-		    kwb_clock_now_ns() + exchange->silence_ns;
+	if (exchange->max_silence_ns != 0)
+		exchange->silence_deadline_ns =
+		    kwb_clock_now_ns() + exchange->max_silence_ns;
 	if (exchange->ops->on_head != NULL)
 		exchange->ops->on_head(exchange);
-	if (line->exchange == exchange)
-		conn->streaming = exchange->streaming;
+	if (pooled->exchange == exchange)
+		conn->is_streaming = exchange->is_streaming;
 }
 
 static void
-line_data(struct kwb_conn *conn)
+pooled_on_data(struct kwb_conn *conn)
 {
-	struct kwb_line *line = conn->context;
-	struct kwb_exchange *exchange = line->exchange;
+	struct kwb_pooled_conn *pooled = conn->context;
+	struct kwb_exchange *exchange = pooled->exchange;
 
-	if (exchange->silence_ns != 0)
-		exchange->silent_deadline_ns =
-		    kwb_clock_now_ns() + exchange->silence_ns;
+	if (exchange->max_silence_ns != 0)
+		exchange->silence_deadline_ns =
+		    kwb_clock_now_ns() + exchange->max_silence_ns;
 	exchange->ops->on_data(exchange);
 }
 
-/* The answer moves to the exchange, so that the line can serve the callee. */
+/* The answer moves to the exchange, so that the connection can serve the
+ * callee. */
 static void
-line_message(struct kwb_conn *conn)
+pooled_on_message(struct kwb_conn *conn)
 {
-	struct kwb_line *line = conn->context;
-	struct kwb_exchange *exchange = line->exchange;
+	struct kwb_pooled_conn *pooled = conn->context;
+	struct kwb_exchange *exchange = pooled->exchange;
 	bool keep = conn->message.keep_alive;
-	uint64_t idle_ns = keep_ns(&conn->message);
+	uint64_t idle_ns = idle_limit_ns(&conn->message);
 
 	if (exchange == NULL) {
-		line_free(line); /* an answer to nothing */
+		pooled_free(pooled); /* an answer to nothing */
 		return;
 	}
 	kwb_message_finish(&exchange->answer);
 	exchange->answer = conn->message;
 	kwb_message_init(&conn->message);
-	exchange_detach(exchange, keep ? idle_ns : 0);
+	exchange_release_conn(exchange, keep ? idle_ns : 0);
 	exchange->ops->on_done(exchange, 0);
 }
 
 static void
-line_close(struct kwb_conn *conn, int error)
+pooled_on_close(struct kwb_conn *conn, int error)
 {
-	struct kwb_line *line = conn->context;
-	struct kwb_exchange *exchange = line->exchange;
+	struct kwb_pooled_conn *pooled = conn->context;
+	struct kwb_exchange *exchange = pooled->exchange;
 
 	if (exchange == NULL) {
-		line_free(line);
+		pooled_free(pooled);
 		return;
 	}
 	if (error == KWB_ERR_NET_RESET || error == KWB_ERR_NET_CLOSED)
-		error = exchange->reused && !conn->head_told ? KWB_ERR_NET_STALE
-							     : error;
+		error = exchange->is_conn_reused && !conn->is_head_reported
+		    ? KWB_ERR_NET_STALE
+		    : error;
 	exchange_end(exchange, error);
 }
 
-static const struct kwb_conn_ops line_ops = {
-    .on_head = line_head,
-    .on_data = line_data,
-    .on_message = line_message,
-    .on_close = line_close,
+static const struct kwb_conn_ops pooled_conn_ops = {
+    .on_head = pooled_on_head,
+    .on_data = pooled_on_data,
+    .on_message = pooled_on_message,
+    .on_close = pooled_on_close,
 };
 
 static uint64_t
@@ -166,147 +172,148 @@
 {
 	uint64_t next_ns = UINT64_MAX;
 
-	if (!exchange->line->conn.connected)
+	if (!exchange->pooled->conn.is_connected)
 		next_ns = exchange->connect_deadline_ns;
-	else if (exchange->silent_deadline_ns != 0)
-		next_ns = exchange->silent_deadline_ns;
+	else if (exchange->silence_deadline_ns != 0)
+		next_ns = exchange->silence_deadline_ns;
 	if (exchange->deadline_ns != 0 && exchange->deadline_ns < next_ns)
 		next_ns = exchange->deadline_ns;
 	return next_ns;
 }
 
 static void
-exchange_arm(struct kwb_exchange *exchange)
+exchange_arm_timer(struct kwb_exchange *exchange)
 {
 	uint64_t next_ns = exchange_next_deadline(exchange);
 	uint64_t check_ns = kwb_clock_now_ns() + KWB_EXCHANGE_CHECK_NS;
 
-	kwb_timer_at(exchange->timer, next_ns < check_ns ? next_ns : check_ns);
+	kwb_timer_arm(exchange->timer, next_ns < check_ns ? next_ns : check_ns);
 }
 
 /* Ends an exchange whose time is up; a moved deadline only arms it again. */
 static void
-exchange_time(int fd, short what, void *context)
+exchange_on_timer(int fd, short what, void *context)
 {
 	struct kwb_exchange *exchange = context;
 
 	(void)fd;
 	(void)what;
 	if (kwb_clock_now_ns() < exchange_next_deadline(exchange))
-		exchange_arm(exchange);
+		exchange_arm_timer(exchange);
 	else
 		exchange_end(exchange,
-		    exchange->line->conn.connected ? KWB_ERR_NET_TIMEOUT
-						   : KWB_ERR_NET_CONNECT);
+		    exchange->pooled->conn.is_connected ? KWB_ERR_NET_TIMEOUT
+							: KWB_ERR_NET_CONNECT);
 }
 
-static struct kwb_line *
-line_idle(struct kwb_client *client, const struct kwb_address *address)
+static struct kwb_pooled_conn *
+client_take_idle(struct kwb_client *client, const struct kwb_address *address)
 {
-	struct kwb_line *line;
+	struct kwb_pooled_conn *pooled;
 	uint64_t now_ns = kwb_clock_now_ns();
 
-	TAILQ_FOREACH (line, &client->idle, entry) {
-		if (line_is_to(line, address) &&
-		    line->idle_deadline_ns > now_ns) {
-			TAILQ_REMOVE(&client->idle, line, entry);
+	TAILQ_FOREACH (pooled, &client->idle_conns, entry) {
+		if (pooled_is_to(pooled, address) &&
+		    pooled->idle_deadline_ns > now_ns) {
+			TAILQ_REMOVE(&client->idle_conns, pooled, entry);
 			client->idle_count--;
-			return line;
+			return pooled;
 		}
 	}
 	return NULL;
 }
 
-static struct kwb_line *
-line_new(struct kwb_client *client, const struct kwb_address *address)
+static struct kwb_pooled_conn *
+pooled_new(struct kwb_client *client, const struct kwb_address *address)
 {
-	struct kwb_line *line = calloc(1, sizeof(*line));
+	struct kwb_pooled_conn *pooled = calloc(1, sizeof(*pooled));
 
-	if (line == NULL)
+	if (pooled == NULL)
 		return NULL;
-	line->client = client;
-	line->address = *address;
-	if (kwb_conn_connect(
-		&line->conn, client->base, address, &line_ops, line) != 0) {
-		free(line);
+	pooled->client = client;
+	pooled->address = *address;
+	if (kwb_conn_connect(&pooled->conn, client->base, address,
+		&pooled_conn_ops, pooled) != 0) {
+		free(pooled);
 		return NULL;
 	}
-	line->conn.body_max_bytes = client->answer_max_bytes;
-	line->conn.hold = &client->hold;
+	pooled->conn.body_max_bytes = client->answer_max_bytes;
+	pooled->conn.body_budget = &client->body_budget;
 	client->opened_count++;
-	return line;
+	return pooled;
 }
 
 int
 kwb_exchange_start(struct kwb_exchange *exchange, struct kwb_client *client,
     const struct kwb_address *address, struct evbuffer *request)
 {
-	struct kwb_line *line = NULL;
+	struct kwb_pooled_conn *pooled = NULL;
 
 	exchange->client = client;
-	exchange->timer = kwb_timer_new(client->base, exchange_time, exchange);
+	exchange->timer =
+	    kwb_timer_new(client->base, exchange_on_timer, exchange);
 	if (exchange->timer == NULL)
 		return KWB_ERR_MEMORY;
-	if (!exchange->fresh)
-		line = line_idle(client, address);
-	exchange->reused = line != NULL;
-	if (line == NULL)
-		line = line_new(client, address);
-	if (line == NULL) {
+	if (!exchange->wants_new_conn)
+		pooled = client_take_idle(client, address);
+	exchange->is_conn_reused = pooled != NULL;
+	if (pooled == NULL)
+		pooled = pooled_new(client, address);
+	if (pooled == NULL) {
 		event_free(exchange->timer);
 		exchange->timer = NULL;
 		return KWB_ERR_NET_CONNECT;
 	}
-	exchange->line = line;
-	line->exchange = exchange;
-	line->conn.no_body = exchange->no_body;
-	evbuffer_add_buffer(kwb_conn_output(&line->conn), request);
+	exchange->pooled = pooled;
+	pooled->exchange = exchange;
+	pooled->conn.has_no_body = exchange->has_no_body;
+	evbuffer_add_buffer(kwb_conn_output(&pooled->conn), request);
 	exchange->connect_deadline_ns =
 	    kwb_clock_now_ns() + KWB_CONNECT_TIMEOUT_MS * KWB_MS_NS;
-	if (exchange->silence_ns != 0)
-		exchange->silent_deadline_ns =
-		    kwb_clock_now_ns() + exchange->silence_ns;
-	exchange_arm(exchange); /* ends later, even if paused until now */
+	if (exchange->max_silence_ns != 0)
+		exchange->silence_deadline_ns =
+		    kwb_clock_now_ns() + exchange->max_silence_ns;
+	exchange_arm_timer(exchange); /* ends later, even if paused until now */
 	return 0;
 }
 
 bool
-kwb_exchange_connected(const struct kwb_exchange *exchange)
+kwb_exchange_is_connected(const struct kwb_exchange *exchange)
 {
-	return exchange->line != NULL && exchange->line->conn.connected;
+	return exchange->pooled != NULL && exchange->pooled->conn.is_connected;
 }
 
 void
 kwb_exchange_finish(struct kwb_exchange *exchange)
 {
-	if (exchange->line != NULL)
-		exchange_detach(exchange, 0);
+	if (exchange->pooled != NULL)
+		exchange_release_conn(exchange, 0);
 	kwb_message_finish(&exchange->answer);
 }
 
 struct kwb_message *
-kwb_exchange_message(struct kwb_exchange *exchange)
+kwb_exchange_answer(struct kwb_exchange *exchange)
 {
-	return exchange->line ? &exchange->line->conn.message
-			      : &exchange->answer;
+	return exchange->pooled ? &exchange->pooled->conn.message
+				: &exchange->answer;
 }
 
 static void
-client_sweep(int fd, short what, void *context)
+client_on_sweep_timer(int fd, short what, void *context)
 {
 	struct kwb_client *client = context;
-	struct kwb_line *line = TAILQ_FIRST(&client->idle);
-	struct kwb_line *next;
+	struct kwb_pooled_conn *pooled = TAILQ_FIRST(&client->idle_conns);
+	struct kwb_pooled_conn *next;
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	(void)fd;
 	(void)what;
-	for (; line != NULL; line = next) {
-		next = TAILQ_NEXT(line, entry);
-		if (line->idle_deadline_ns <= now_ns)
-			line_free(line);
+	for (; pooled != NULL; pooled = next) {
+		next = TAILQ_NEXT(pooled, entry);
+		if (pooled->idle_deadline_ns <= now_ns)
+			pooled_free(pooled);
 	}
-	kwb_timer_at(client->sweep, now_ns + KWB_IDLE_SWEEP_NS);
+	kwb_timer_arm(client->sweep_timer, now_ns + KWB_IDLE_SWEEP_NS);
 }
 
 int
@@ -314,52 +321,55 @@
 {
 	memset(client, 0, sizeof(*client));
 	client->base = base;
-	TAILQ_INIT(&client->idle);
+	TAILQ_INIT(&client->idle_conns);
 	client->answer_max_bytes = KWB_ANSWER_MAX_BYTES;
-	client->hold.max_bytes = KWB_HOLD_MAX_BYTES;
-	client->sweep = kwb_timer_new(base, client_sweep, client);
-	if (client->sweep == NULL)
+	client->body_budget.max_bytes = KWB_ANSWER_BUDGET_BYTES;
+	client->sweep_timer =
+	    kwb_timer_new(base, client_on_sweep_timer, client);
+	if (client->sweep_timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(client->sweep, kwb_clock_now_ns() + KWB_IDLE_SWEEP_NS);
+	kwb_timer_arm(
+	    client->sweep_timer, kwb_clock_now_ns() + KWB_IDLE_SWEEP_NS);
 	return 0;
 }
 
 void
 kwb_client_finish(struct kwb_client *client)
 {
-	struct kwb_line *line = TAILQ_FIRST(&client->idle);
-	struct kwb_line *next;
+	struct kwb_pooled_conn *pooled = TAILQ_FIRST(&client->idle_conns);
+	struct kwb_pooled_conn *next;
 
-	for (; line != NULL; line = next) {
-		next = TAILQ_NEXT(line, entry);
-		line_free(line);
+	for (; pooled != NULL; pooled = next) {
+		next = TAILQ_NEXT(pooled, entry);
+		pooled_free(pooled);
 	}
-	event_free(client->sweep);
+	event_free(client->sweep_timer);
 }
 
 bool
 kwb_client_has_idle(
     const struct kwb_client *client, const struct kwb_address *address)
 {
-	const struct kwb_line *line;
+	const struct kwb_pooled_conn *pooled;
 	uint64_t now_ns = kwb_clock_now_ns();
 
-	TAILQ_FOREACH (line, &client->idle, entry)
-		if (line_is_to(line, address) &&
-		    line->idle_deadline_ns > now_ns)
+	TAILQ_FOREACH (pooled, &client->idle_conns, entry)
+		if (pooled_is_to(pooled, address) &&
+		    pooled->idle_deadline_ns > now_ns)
 			return true;
 	return false;
 }
 
 void
-kwb_client_drop(struct kwb_client *client, const struct kwb_address *address)
+kwb_client_close_idle(
+    struct kwb_client *client, const struct kwb_address *address)
 {
-	struct kwb_line *line = TAILQ_FIRST(&client->idle);
-	struct kwb_line *next;
+	struct kwb_pooled_conn *pooled = TAILQ_FIRST(&client->idle_conns);
+	struct kwb_pooled_conn *next;
 
-	for (; line != NULL; line = next) {
-		next = TAILQ_NEXT(line, entry);
-		if (line_is_to(line, address))
-			line_free(line);
+	for (; pooled != NULL; pooled = next) {
+		next = TAILQ_NEXT(pooled, entry);
+		if (pooled_is_to(pooled, address))
+			pooled_free(pooled);
 	}
 }
--- a/src/net/conn.c
+++ b/src/net/conn.c
@@ -11,16 +11,16 @@
 
 #include "kwb_node.h"
 
-#define READ_MAX_BYTES 65536
+#define PARSE_MAX_BYTES 65536
 
 static struct kwb_conn *
-conn_of(http_parser *parser)
+conn_from_parser(http_parser *parser)
 {
 	return parser->data;
 }
 
 static int
-head_add(struct kwb_conn *conn, const char *at, size_t length)
+head_append(struct kwb_conn *conn, const char *at, size_t length)
 {
 	conn->head_bytes += (uint32_t)length;
 	if (conn->head_max_bytes != 0 &&
@@ -31,7 +31,7 @@
 
 /* Ends the text that was being collected. */
 static int
-text_end(struct kwb_conn *conn)
+text_terminate(struct kwb_conn *conn)
 {
 	return kwb_buf_add(&conn->message.text, "", 1);
 }
@@ -39,120 +39,120 @@
 static int
 on_message_begin(http_parser *parser)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 
 	kwb_message_clear(&conn->message);
 	conn->head_bytes = 0;
-	conn->value_open = false;
-	conn->head_done = false;
-	conn->head_told = false;
+	conn->is_in_header_value = false;
+	conn->has_head = false;
+	conn->is_head_reported = false;
 	return 0;
 }
 
 static int
 on_url(http_parser *parser, const char *at, size_t length)
 {
-	return head_add(conn_of(parser), at, length);
+	return head_append(conn_from_parser(parser), at, length);
 }
 
 static int
 on_field(http_parser *parser, const char *at, size_t length)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 	struct kwb_message *message = &conn->message;
 
 	if (message->headers_count == 0 && conn->head_bytes > 0 &&
-	    !conn->value_open && text_end(conn) != 0)
+	    !conn->is_in_header_value && text_terminate(conn) != 0)
 		return -1; /* the target ends here */
-	if (conn->value_open || message->headers_count == 0) {
-		if (conn->value_open && text_end(conn) != 0)
+	if (conn->is_in_header_value || message->headers_count == 0) {
+		if (conn->is_in_header_value && text_terminate(conn) != 0)
 			return -1;
-		conn->value_open = false;
-		if (kwb_message_add(message, "", "") != 0)
+		conn->is_in_header_value = false;
+		if (kwb_message_add_header(message, "", "") != 0)
 			return -1;
 		message->text.used_bytes -= 2;
-		message->headers[message->headers_count - 1].name_at =
+		message->headers[message->headers_count - 1].name_offset =
 		    (uint32_t)message->text.used_bytes;
 	}
-	return head_add(conn, at, length);
+	return head_append(conn, at, length);
 }
 
 static int
 on_value(http_parser *parser, const char *at, size_t length)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 	struct kwb_message *message = &conn->message;
 
-	if (!conn->value_open) {
-		if (text_end(conn) != 0)
+	if (!conn->is_in_header_value) {
+		if (text_terminate(conn) != 0)
 			return -1;
-		message->headers[message->headers_count - 1].value_at =
+		message->headers[message->headers_count - 1].value_offset =
 		    (uint32_t)message->text.used_bytes;
-		conn->value_open = true;
+		conn->is_in_header_value = true;
 	}
-	return head_add(conn, at, length);
+	return head_append(conn, at, length);
 }
 
 static int
 on_headers_complete(http_parser *parser)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 	struct kwb_message *message = &conn->message;
 
-	if (text_end(conn) != 0)
+	if (text_terminate(conn) != 0)
 		return -1;
 	message->status = (uint16_t)parser->status_code;
-	if (conn->server)
+	if (conn->is_server)
 		kwb_text_copy(message->method, sizeof(message->method),
 		    http_method_str((enum http_method)parser->method));
 	message->keep_alive = http_should_keep_alive(parser) != 0;
-	if (conn->server && parser->upgrade != 0)
+	if (conn->is_server && parser->upgrade != 0)
 		return -1; /* no other protocol is spoken here */
-	if (!conn->server && message->status / 100 == 1)
+	if (!conn->is_server && message->status / 100 == 1)
 		return 0;
-	conn->body_over = conn->body_max_bytes != 0 && !conn->no_body &&
-	    parser->content_length != UINT64_MAX &&
+	conn->is_body_too_large = conn->body_max_bytes != 0 &&
+	    !conn->has_no_body && parser->content_length != UINT64_MAX &&
 	    parser->content_length > conn->body_max_bytes;
-	if (conn->body_over)
+	if (conn->is_body_too_large)
 		return -1; /* refused before it is read */
-	conn->head_done = true;
-	return conn->no_body ? 1 : 0;
+	conn->has_head = true;
+	return conn->has_no_body ? 1 : 0;
 }
 
 /* Its body has been passed on, or is dropped. */
 static void
-hold_release(struct kwb_conn *conn)
+budget_release(struct kwb_conn *conn)
 {
-	if (conn->hold != NULL)
-		conn->hold->bytes -= conn->held_bytes;
-	conn->held_bytes = 0;
+	if (conn->body_budget != NULL)
+		conn->body_budget->bytes -= conn->budgeted_bytes;
+	conn->budgeted_bytes = 0;
 }
 
 /* False when connections hold too much already: this one has to end. */
 static bool
-hold_add(struct kwb_conn *conn, size_t length)
+budget_reserve(struct kwb_conn *conn, size_t length)
 {
-	if (conn->hold == NULL)
+	if (conn->body_budget == NULL)
 		return true;
-	if (conn->hold->bytes + length > conn->hold->max_bytes) {
-		conn->body_over = true;
+	if (conn->body_budget->bytes + length > conn->body_budget->max_bytes) {
+		conn->is_body_too_large = true;
 		return false;
 	}
-	conn->hold->bytes += length;
-	conn->held_bytes += length;
+	conn->body_budget->bytes += length;
+	conn->budgeted_bytes += length;
 	return true;
 }
 
 static int
 on_body(http_parser *parser, const char *at, size_t length)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 	struct kwb_buf *body = &conn->message.body;
 
 	if (conn->body_max_bytes != 0 &&
 	    body->used_bytes + length > conn->body_max_bytes)
 		return KWB_ERR_NET_BODY_SIZE;
-	if (!hold_add(conn, length))
+	if (!budget_reserve(conn, length))
 		return KWB_ERR_NET_BODY_SIZE;
 	return kwb_buf_add(body, at, length);
 }
@@ -160,11 +160,11 @@
 static int
 on_message_complete(http_parser *parser)
 {
-	struct kwb_conn *conn = conn_of(parser);
+	struct kwb_conn *conn = conn_from_parser(parser);
 
-	if (!conn->head_done)
+	if (!conn->has_head)
 		return 0; /* an interim answer */
-	conn->complete = true;
+	conn->is_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -181,26 +181,26 @@
 
 /* Tells what the parser has found; false when the connection is finished. */
 static bool
-conn_tell(struct kwb_conn *conn, const bool *gone)
+conn_report(struct kwb_conn *conn, const bool *is_finished)
 {
-	if (conn->head_done && !conn->head_told) {
-		conn->head_told = true;
+	if (conn->has_head && !conn->is_head_reported) {
+		conn->is_head_reported = true;
 		if (conn->ops->on_head != NULL)
 			conn->ops->on_head(conn);
-		if (*gone)
+		if (*is_finished)
 			return false;
 	}
-	if (conn->streaming && conn->message.body.used_bytes > 0) {
+	if (conn->is_streaming && conn->message.body.used_bytes > 0) {
 		conn->ops->on_data(conn);
-		if (*gone)
+		if (*is_finished)
 			return false;
-		hold_release(conn);
+		budget_release(conn);
 	}
-	if (conn->complete && conn->head_done) {
-		conn->head_done = false;
+	if (conn->is_complete && conn->has_head) {
+		conn->has_head = false;
 		conn->ops->on_message(conn);
 	}
-	return !*gone;
+	return !*is_finished;
 }
 
 static int
@@ -209,9 +209,9 @@
 	if (conn->head_max_bytes != 0 &&
 	    conn->head_bytes > conn->head_max_bytes)
 		return KWB_ERR_NET_HEAD_SIZE;
-	if (conn->body_over)
+	if (conn->is_body_too_large)
 		return KWB_ERR_NET_BODY_SIZE;
-	if (conn->body_max_bytes != 0 && conn->head_done &&
+	if (conn->body_max_bytes != 0 && conn->has_head &&
 	    HTTP_PARSER_ERRNO(&conn->parser) == HPE_CB_body)
 		return KWB_ERR_NET_BODY_SIZE;
 	return KWB_ERR_NET_MALFORMED;
@@ -230,106 +230,109 @@
 {
 	struct evbuffer *input = bufferevent_get_input(conn->bev);
 	struct evbuffer_iovec span;
-	bool gone = false;
+	bool is_finished = false;
 	size_t used;
 	enum http_errno code;
 
-	conn->gone = &gone;
-	while (!conn->complete && evbuffer_get_length(input) > 0) {
-		if (evbuffer_peek(input, READ_MAX_BYTES, NULL, &span, 1) < 1)
+	conn->is_finished = &is_finished;
+	while (!conn->is_complete && evbuffer_get_length(input) > 0) {
+		if (evbuffer_peek(input, PARSE_MAX_BYTES, NULL, &span, 1) < 1)
 			break;
 		used = http_parser_execute(&conn->parser, &parser_settings,
 		    span.iov_base, span.iov_len);
 		code = HTTP_PARSER_ERRNO(&conn->parser);
 		evbuffer_drain(input, used);
-		if (!conn_tell(conn, &gone))
+		if (!conn_report(conn, &is_finished))
 			return;
 		if (code != HPE_OK && code != HPE_PAUSED) {
-			conn->gone = NULL;
+			conn->is_finished = NULL;
 			conn_fail(conn, parse_error(conn));
 			return;
 		}
 	}
-	conn->gone = NULL;
+	conn->is_finished = NULL;
 }
 
 static void
-conn_read(struct bufferevent *bev, void *context)
+conn_on_read(struct bufferevent *bev, void *context)
 {
 	struct kwb_conn *conn = context;
 
 	(void)bev;
-	if (!conn->closing)
+	if (!conn->is_closing)
 		conn_process(conn);
 }
 
 static void
-conn_written(struct bufferevent *bev, void *context)
+conn_on_written(struct bufferevent *bev, void *context)
 {
 	struct kwb_conn *conn = context;
 
-	if (conn->closing &&
+	if (conn->is_closing &&
 	    evbuffer_get_length(bufferevent_get_output(bev)) == 0)
 		conn->ops->on_close(conn, 0);
 }
 
 /* The peer has closed: a message without length is whole now. */
 static void
-conn_eof(struct kwb_conn *conn)
+conn_on_eof(struct kwb_conn *conn)
 {
-	bool gone = false;
+	bool is_finished = false;
 
-	if (!conn->complete) {
-		conn->gone = &gone;
+	if (!conn->is_complete) {
+		conn->is_finished = &is_finished;
 		http_parser_execute(&conn->parser, &parser_settings, NULL, 0);
-		if (!conn_tell(conn, &gone))
+		if (!conn_report(conn, &is_finished))
 			return;
-		conn->gone = NULL;
+		conn->is_finished = NULL;
 	}
 	conn->ops->on_close(conn, KWB_ERR_NET_CLOSED);
 }
 
 static void
-conn_event(struct bufferevent *bev, short what, void *context)
+conn_on_event(struct bufferevent *bev, short what, void *context)
 {
 	struct kwb_conn *conn = context;
-	bool gone = false;
+	bool is_finished = false;
 
 	(void)bev;
 	if (what & BEV_EVENT_CONNECTED) {
-		conn->connected = true;
+		conn->is_connected = true;
 		return;
 	}
 	if (what & BEV_EVENT_EOF) {
-		conn->gone = &gone;
-		if (!conn->closing)
+		conn->is_finished = &is_finished;
+		if (!conn->is_closing)
 			conn_process(conn);
-		if (gone)
+		if (is_finished)
 			return;
-		conn->gone = NULL;
-		conn_eof(conn);
+		conn->is_finished = NULL;
+		conn_on_eof(conn);
 		return;
 	}
 	if (what & BEV_EVENT_ERROR)
 		conn->ops->on_close(conn,
-		    conn->connected ? KWB_ERR_NET_RESET : KWB_ERR_NET_CONNECT);
+		    conn->is_connected ? KWB_ERR_NET_RESET
+				       : KWB_ERR_NET_CONNECT);
 }
 
 static int
 conn_init(struct kwb_conn *conn, struct event_base *base, int fd,
-    const struct kwb_conn_ops *ops, void *context, bool server)
+    const struct kwb_conn_ops *ops, void *context, bool is_server)
 {
 	memset(conn, 0, sizeof(*conn));
 	conn->ops = ops;
 	conn->context = context;
-	conn->server = server;
+	conn->is_server = is_server;
 	conn->bev = bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE);
 	if (conn->bev == NULL)
 		return KWB_ERR_MEMORY;
 	kwb_message_init(&conn->message);
-	http_parser_init(&conn->parser, server ? HTTP_REQUEST : HTTP_RESPONSE);
+	http_parser_init(
+	    &conn->parser, is_server ? HTTP_REQUEST : HTTP_RESPONSE);
 	conn->parser.data = conn;
-	bufferevent_setcb(conn->bev, conn_read, conn_written, conn_event, conn);
+	bufferevent_setcb(
+	    conn->bev, conn_on_read, conn_on_written, conn_on_event, conn);
 	return 0;
 }
 
@@ -341,8 +344,8 @@
 
 	if (code != 0)
 		return code;
-	conn->connected = true;
-	kwb_socket_no_delay(fd);
+	conn->is_connected = true;
+	kwb_socket_set_no_delay(fd);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
 	return 0;
 }
@@ -369,9 +372,9 @@
 void
 kwb_conn_finish(struct kwb_conn *conn)
 {
-	if (conn->gone != NULL)
-		*conn->gone = true;
-	hold_release(conn);
+	if (conn->is_finished != NULL)
+		*conn->is_finished = true;
+	budget_release(conn);
 	if (conn->bev != NULL)
 		bufferevent_free(conn->bev);
 	conn->bev = NULL;
@@ -381,25 +384,26 @@
 void
 kwb_conn_reset(struct kwb_conn *conn)
 {
-	struct linger hard = {.l_onoff = 1, .l_linger = 0};
+	struct linger reset_on_close = {.l_onoff = 1, .l_linger = 0};
 	int fd = conn->bev ? bufferevent_getfd(conn->bev) : -1;
 
 	if (fd >= 0 &&
-	    setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard)) != 0)
+	    setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close,
+		sizeof(reset_on_close)) != 0)
 		kwb_log(KWB_LOG_WARN, "conn", "event=linger_failed fd=%d", fd);
 	kwb_conn_finish(conn);
 }
 
 void
-kwb_conn_next(struct kwb_conn *conn)
+kwb_conn_read_next(struct kwb_conn *conn)
 {
-	if (!conn->complete)
+	if (!conn->is_complete)
 		return;
-	conn->complete = false;
-	conn->streaming = false;
+	conn->is_complete = false;
+	conn->is_streaming = false;
 	conn->head_bytes = 0;
 	http_parser_pause(&conn->parser, 0);
-	hold_release(conn);
+	budget_release(conn);
 	kwb_message_clear(&conn->message);
 	if (evbuffer_get_length(bufferevent_get_input(conn->bev)) > 0)
 		bufferevent_trigger(
@@ -407,9 +411,9 @@
 }
 
 void
-kwb_conn_end(struct kwb_conn *conn)
+kwb_conn_close_when_written(struct kwb_conn *conn)
 {
-	conn->closing = true;
+	conn->is_closing = true;
 	if (evbuffer_get_length(bufferevent_get_output(conn->bev)) == 0)
 		bufferevent_trigger(
 		    conn->bev, EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
--- a/src/net/events.c
+++ b/src/net/events.c
@@ -8,33 +8,33 @@
 #include "kwb_node.h"
 
 void
-kwb_events_init(struct kwb_events *events, const char *version_field)
+kwb_sse_parser_init(struct kwb_sse_parser *parser, const char *version_field)
 {
-	memset(events, 0, sizeof(*events));
-	events->version_field = version_field;
+	memset(parser, 0, sizeof(*parser));
+	parser->version_field = version_field;
 }
 
 void
-kwb_events_finish(struct kwb_events *events)
+kwb_sse_parser_finish(struct kwb_sse_parser *parser)
 {
-	kwb_buf_finish(&events->line);
-	kwb_buf_finish(&events->event.data);
+	kwb_buf_finish(&parser->line);
+	kwb_buf_finish(&parser->event.data);
 }
 
 static void
-event_clear(struct kwb_events *events)
+parser_clear_event(struct kwb_sse_parser *parser)
 {
-	events->event.has_id = false;
-	events->event.id = 0;
-	events->event.version = 0;
-	events->event.data.used_bytes = 0;
-	events->open = false;
+	parser->event.has_id = false;
+	parser->event.id = 0;
+	parser->event.version = 0;
+	parser->event.data.used_bytes = 0;
+	parser->has_field = false;
 }
 
 static int
-field(struct kwb_events *events, const char *line)
+parse_field(struct kwb_sse_parser *parser, const char *line)
 {
-	struct kwb_event *event = &events->event;
+	struct kwb_sse_event *event = &parser->event;
 	const char *colon = strchr(line, ':');
 	const char *value;
 	size_t name_bytes;
@@ -43,7 +43,7 @@
 		return 0; /* a comment, or a field without value */
 	name_bytes = (size_t)(colon - line);
 	value = colon[1] == ' ' ? colon + 2 : colon + 1;
-	events->open = true;
+	parser->has_field = true;
 	if (strncmp(line, "id", name_bytes) == 0 && name_bytes == 2) {
 		event->id = strtoull(value, NULL, 10);
 		event->has_id = true;
@@ -55,36 +55,36 @@
 			return KWB_ERR_MEMORY;
 		return kwb_buf_add(&event->data, value, strlen(value));
 	}
-	if (strlen(events->version_field) == name_bytes &&
-	    strncmp(line, events->version_field, name_bytes) == 0)
+	if (strlen(parser->version_field) == name_bytes &&
+	    strncmp(line, parser->version_field, name_bytes) == 0)
 		event->version = strtoull(value, NULL, 10);
 	return 0;
 }
 
 static int
-line_done(struct kwb_events *events,
-    void (*on_event)(void *context, const struct kwb_event *event),
+process_line(struct kwb_sse_parser *parser,
+    void (*on_event)(void *context, const struct kwb_sse_event *event),
     void *context)
 {
-	struct kwb_buf *line = &events->line;
+	struct kwb_buf *line = &parser->line;
 	int code;
 
 	if (line->used_bytes > 0 && line->data[line->used_bytes - 1] == '\r')
 		line->data[--line->used_bytes] = '\0';
 	if (line->used_bytes > 0) {
-		code = field(events, line->data);
+		code = parse_field(parser, line->data);
 		line->used_bytes = 0;
 		return code;
 	}
-	if (events->open)
-		on_event(context, &events->event);
-	event_clear(events);
+	if (parser->has_field)
+		on_event(context, &parser->event);
+	parser_clear_event(parser);
 	return 0;
 }
 
 int
-kwb_events_feed(struct kwb_events *events, struct kwb_buf *bytes,
-    void (*on_event)(void *context, const struct kwb_event *event),
+kwb_sse_parser_feed(struct kwb_sse_parser *parser, struct kwb_buf *bytes,
+    void (*on_event)(void *context, const struct kwb_sse_event *event),
     void *context)
 {
 	const char *at = bytes->data;
@@ -94,16 +94,16 @@
 
 	while (at < end) {
 		newline = memchr(at, '\n', (size_t)(end - at));
-		if (events->line.used_bytes + events->event.data.used_bytes +
+		if (parser->line.used_bytes + parser->event.data.used_bytes +
 			(size_t)((newline ? newline : end) - at) >
-		    KWB_EVENT_MAX_BYTES)
+		    KWB_SSE_EVENT_MAX_BYTES)
 			return KWB_ERR_NET_BODY_SIZE;
-		if (kwb_buf_add(&events->line, at,
+		if (kwb_buf_add(&parser->line, at,
 			(size_t)((newline ? newline : end) - at)) != 0)
 			return KWB_ERR_MEMORY;
 		if (newline == NULL)
 			break;
-		code = line_done(events, on_event, context);
+		code = process_line(parser, on_event, context);
 		if (code != 0)
 			return code;
 		at = newline + 1;
@@ -114,11 +114,11 @@
 
 /* An event ends with an empty line; its id, if it has one, is noted. */
 size_t
-kwb_events_whole(const struct kwb_buf *bytes, uint64_t *last_id)
+kwb_sse_whole_bytes(const struct kwb_buf *bytes, uint64_t *last_id)
 {
 	const char *text = kwb_buf_text(bytes);
 	uint64_t id = *last_id;
-	size_t whole = 0;
+	size_t whole_bytes = 0;
 	size_t at = 0;
 
 	while (at < bytes->used_bytes) {
@@ -133,9 +133,9 @@
 		if (length > 3 && strncmp(line, "id:", 3) == 0)
 			id = strtoull(line + 3, NULL, 10);
 		if (length == 0 || (length == 1 && line[0] == '\r')) {
-			whole = at;
+			whole_bytes = at;
 			*last_id = id;
 		}
 	}
-	return whole;
+	return whole_bytes;
 }
--- a/src/net/message.c
+++ b/src/net/message.c
@@ -7,7 +7,7 @@
 
 #include "kwb_node.h"
 
-#define HEADERS_FIRST 16
+#define HEADERS_INITIAL_CAPACITY 16
 
 void
 kwb_message_init(struct kwb_message *message)
@@ -30,7 +30,7 @@
 	message->text.used_bytes = 0;
 	message->body.used_bytes = 0;
 	message->headers_count = 0;
-	message->target_at = 0;
+	message->target_offset = 0;
 	message->method[0] = '\0';
 	message->status = 0;
 	message->keep_alive = false;
@@ -39,19 +39,19 @@
 const char *
 kwb_message_target(const struct kwb_message *message)
 {
-	return kwb_buf_text(&message->text) + message->target_at;
+	return kwb_buf_text(&message->text) + message->target_offset;
 }
 
 const char *
-kwb_message_name(const struct kwb_message *message, uint32_t index)
+kwb_message_header_name(const struct kwb_message *message, uint32_t index)
 {
-	return message->text.data + message->headers[index].name_at;
+	return message->text.data + message->headers[index].name_offset;
 }
 
 const char *
-kwb_message_value(const struct kwb_message *message, uint32_t index)
+kwb_message_header_value(const struct kwb_message *message, uint32_t index)
 {
-	return message->text.data + message->headers[index].value_at;
+	return message->text.data + message->headers[index].value_offset;
 }
 
 const char *
@@ -60,40 +60,41 @@
 	uint32_t i;
 
 	for (i = 0; i < message->headers_count; i++)
-		if (strcasecmp(kwb_message_name(message, i), name) == 0)
-			return kwb_message_value(message, i);
+		if (strcasecmp(kwb_message_header_name(message, i), name) == 0)
+			return kwb_message_header_value(message, i);
 	return NULL;
 }
 
 static struct kwb_header *
-header_new(struct kwb_message *message)
+message_new_header(struct kwb_message *message)
 {
-	uint32_t room =
-	    message->headers_room ? message->headers_room * 2 : HEADERS_FIRST;
+	uint32_t room = message->headers_capacity
+	    ? message->headers_capacity * 2
+	    : HEADERS_INITIAL_CAPACITY;
 	struct kwb_header *headers;
 
-	if (message->headers_count == message->headers_room) {
+	if (message->headers_count == message->headers_capacity) {
 		headers = realloc(message->headers, room * sizeof(*headers));
 		if (headers == NULL)
 			return NULL;
 		message->headers = headers;
-		message->headers_room = room;
+		message->headers_capacity = room;
 	}
 	return &message->headers[message->headers_count++];
 }
 
 int
-kwb_message_add(
+kwb_message_add_header(
     struct kwb_message *message, const char *name, const char *value)
 {
-	struct kwb_header *header = header_new(message);
+	struct kwb_header *header = message_new_header(message);
 
 	if (header == NULL)
 		return KWB_ERR_MEMORY;
-	header->name_at = (uint32_t)message->text.used_bytes;
+	header->name_offset = (uint32_t)message->text.used_bytes;
 	if (kwb_buf_add(&message->text, name, strlen(name) + 1) != 0)
 		return KWB_ERR_MEMORY;
-	header->value_at = (uint32_t)message->text.used_bytes;
+	header->value_offset = (uint32_t)message->text.used_bytes;
 	return kwb_buf_add(&message->text, value, strlen(value) + 1);
 }
 
@@ -104,7 +105,7 @@
 
 	memcpy(to->method, from->method, sizeof(to->method));
 	to->status = from->status;
-	to->target_at = from->target_at;
+	to->target_offset = from->target_offset;
 	to->keep_alive = from->keep_alive;
 	if (kwb_buf_add(&to->text, from->text.data, from->text.used_bytes) !=
 		0 ||
@@ -117,6 +118,6 @@
 		return KWB_ERR_MEMORY;
 	memcpy(to->headers, from->headers, size_bytes);
 	to->headers_count = from->headers_count;
-	to->headers_room = from->headers_count;
+	to->headers_capacity = from->headers_count;
 	return 0;
 }
--- a/src/net/socket.c
+++ b/src/net/socket.c
@@ -14,7 +14,7 @@
 #define LISTEN_BACKLOG 1024
 
 static int
-address_to(const struct kwb_address *address, struct sockaddr_in *to)
+address_to_sockaddr(const struct kwb_address *address, struct sockaddr_in *to)
 {
 	*to = (struct sockaddr_in){
 	    .sin_family = AF_INET, .sin_port = htons(address->port)};
@@ -24,7 +24,7 @@
 }
 
 void
-kwb_socket_no_delay(int fd)
+kwb_socket_set_no_delay(int fd)
 {
 	int on = 1;
 
@@ -40,7 +40,7 @@
     void *context, struct evconnlistener **listener)
 {
 	struct sockaddr_in at;
-	int code = address_to(address, &at);
+	int code = address_to_sockaddr(address, &at);
 
 	if (code != 0)
 		return code;
@@ -59,13 +59,13 @@
     struct bufferevent *socket, const struct kwb_address *address)
 {
 	struct sockaddr_in to;
-	int code = address_to(address, &to);
+	int code = address_to_sockaddr(address, &to);
 
 	if (code != 0)
 		return code;
 	if (bufferevent_socket_connect(
 		socket, (struct sockaddr *)&to, sizeof(to)) != 0)
 		return KWB_ERR_NET_CONNECT;
-	kwb_socket_no_delay(bufferevent_getfd(socket));
+	kwb_socket_set_no_delay(bufferevent_getfd(socket));
 	return 0;
 }
--- a/src/node/answer.c
+++ b/src/node/answer.c
@@ -113,10 +113,10 @@
 	uint32_t i;
 
 	for (i = 0; i < answer->headers_count; i++)
-		if (!is_hop(kwb_message_name(answer, i)))
+		if (!is_hop(kwb_message_header_name(answer, i)))
 			evbuffer_add_printf(out, "%s: %s\r\n",
-			    kwb_message_name(answer, i),
-			    kwb_message_value(answer, i));
+			    kwb_message_header_name(answer, i),
+			    kwb_message_header_value(answer, i));
 }
 
 void
--- a/src/node/caller.c
+++ b/src/node/caller.c
@@ -63,7 +63,7 @@
 
 	if (caller->idle_deadline_ns < next_ns)
 		next_ns = caller->idle_deadline_ns;
-	kwb_timer_at(caller->timer, next_ns);
+	kwb_timer_arm(caller->timer, next_ns);
 }
 
 static void
@@ -85,14 +85,14 @@
 	request_free(caller);
 	if (caller->node->stop_deadline_ns != 0 ||
 	    !caller->conn.message.keep_alive) {
-		kwb_conn_end(&caller->conn);
+		kwb_conn_close_when_written(&caller->conn);
 		return;
 	}
 	caller->idle_deadline_ns = kwb_clock_now_ns() + idle_ns(caller->node);
 	caller->was_partial = false;
 	caller_limits(caller);
 	caller_arm(caller);
-	kwb_conn_next(&caller->conn);
+	kwb_conn_read_next(&caller->conn);
 }
 
 /*
@@ -104,7 +104,7 @@
 {
 	struct kwb_caller *caller = context;
 	const struct kwb_conn *conn = &caller->conn;
-	bool partial = conn->head_bytes > 0 && !conn->complete;
+	bool partial = conn->head_bytes > 0 && !conn->is_complete;
 	uint64_t seen_bytes = conn->head_bytes + conn->message.body.used_bytes;
 	uint64_t now_ns = kwb_clock_now_ns();
 
@@ -115,7 +115,7 @@
 	if (partial && seen_bytes != caller->seen_bytes)
 		caller->idle_deadline_ns = now_ns + idle_ns(caller->node);
 	if (partial &&
-	    ((caller->was_partial && !conn->head_done) ||
+	    ((caller->was_partial && !conn->has_head) ||
 		now_ns >= caller->idle_deadline_ns)) {
 		caller->busy = true;
 		caller->node->callers_busy++;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -179,7 +179,7 @@
 		node->on_stopped(node->context);
 		return;
 	}
-	kwb_timer_at(node->timer, now_ns + KWB_NODE_TICK_NS);
+	kwb_timer_arm(node->timer, now_ns + KWB_NODE_TICK_NS);
 }
 
 /* A beat that the silent path has swallowed is due at once. */
@@ -277,7 +277,7 @@
 	node->timer = kwb_timer_new(base, node_time, node);
 	if (node->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(node->timer, kwb_clock_now_ns() + KWB_NODE_TICK_NS);
+	kwb_timer_arm(node->timer, kwb_clock_now_ns() + KWB_NODE_TICK_NS);
 	code = node_listen(node);
 	if (code == 0)
 		code = node_follow(node);
--- a/src/peer/detour.c
+++ b/src/peer/detour.c
@@ -157,7 +157,7 @@
 		: 0,
 	    .relay_silence_ns = now_ns - store->relay_answer_ns,
 	    .is_relayed = store->relay != NULL};
-	kwb_timer_at(detour->timer, now_ns + KWB_PATH_CHECK_NS);
+	kwb_timer_arm(detour->timer, now_ns + KWB_PATH_CHECK_NS);
 	if (store->direct_answer_ns == 0 && store->relay == NULL &&
 	    detour->peers->known_count == 0)
 		return; /* has just started and knows no peers yet */
@@ -205,7 +205,7 @@
 	detour->timer = kwb_timer_new(base, detour_on_timer, detour);
 	if (detour->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(detour->timer, kwb_clock_now_ns() + KWB_PATH_CHECK_NS);
+	kwb_timer_arm(detour->timer, kwb_clock_now_ns() + KWB_PATH_CHECK_NS);
 	return 0;
 }
 
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -124,7 +124,7 @@
 	uint32_t i;
 
 	if (answer->error != 0) {
-		kwb_timer_at(
+		kwb_timer_arm(
 		    peers->timer, kwb_clock_now_ns() + KWB_PEERS_RETRY_NS);
 		return;
 	}
@@ -149,7 +149,7 @@
 	peers->read.on_done = read_on_answer;
 	peers->read.context = peers;
 	if (peers->store->ops->range(peers->store, &range, &peers->read) != 0)
-		kwb_timer_at(
+		kwb_timer_arm(
 		    peers->timer, kwb_clock_now_ns() + KWB_PEERS_RETRY_NS);
 }
 
@@ -161,7 +161,7 @@
 	char key[KEY_BYTES];
 
 	if (answer->error != 0) {
-		kwb_timer_at(
+		kwb_timer_arm(
 		    peers->timer, kwb_clock_now_ns() + KWB_PEERS_RETRY_NS);
 		return;
 	}
@@ -186,11 +186,11 @@
 
 	(void)fd;
 	(void)what;
-	kwb_timer_at(peers->timer, now_ns + KWB_PEERS_REFRESH_NS);
+	kwb_timer_arm(peers->timer, now_ns + KWB_PEERS_REFRESH_NS);
 	if (peers->write.pending != NULL || peers->read.pending != NULL)
 		return;
 	if (store->last_answer_ns == 0) {
-		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
+		kwb_timer_arm(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
 		return; /* the store's clock is not known yet */
 	}
 	ring_key(key, peers->settings->node);
@@ -204,9 +204,10 @@
 	peers->write.context = peers;
 	/* Nodes that start together may have no row yet: read again soon. */
 	if (!peers->is_written)
-		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_FIRST_REFRESH_NS);
+		kwb_timer_arm(
+		    peers->timer, now_ns + KWB_PEERS_FIRST_REFRESH_NS);
 	if (store->ops->transact(store, &tx, &peers->write) != 0)
-		kwb_timer_at(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
+		kwb_timer_arm(peers->timer, now_ns + KWB_PEERS_RETRY_NS);
 }
 
 const struct kwb_peer *
@@ -244,7 +245,7 @@
 	if (peers->timer == NULL)
 		return KWB_ERR_MEMORY;
 	if (settings->peers.port != 0)
-		kwb_timer_at(
+		kwb_timer_arm(
 		    peers->timer, kwb_clock_now_ns() + KWB_PEERS_RETRY_NS);
 	return 0;
 }
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -124,7 +124,7 @@
 	pair->relay = relay;
 	TAILQ_INSERT_TAIL(&relay->pairs, pair, entry);
 	relay->pairs_count++;
-	kwb_socket_no_delay(fd);
+	kwb_socket_set_no_delay(fd);
 	pair->peer =
 	    bufferevent_socket_new(relay->base, fd, BEV_OPT_CLOSE_ON_FREE);
 	pair->store =
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -193,7 +193,7 @@
 		delay_ns *= 2;
 	if (follower->reading)
 		read_restart(follower);
-	kwb_timer_at(follower->timer, kwb_clock_now_ns() + delay_ns);
+	kwb_timer_arm(follower->timer, kwb_clock_now_ns() + delay_ns);
 }
 
 static void
@@ -212,7 +212,7 @@
 		    follower->store->ops->feed(follower->store, follower->table,
 			follower->revision, KWB_FEED_WAIT_MS, &follower->call);
 	if (code != 0)
-		kwb_timer_at(
+		kwb_timer_arm(
 		    follower->timer, kwb_clock_now_ns() + KWB_STORE_RETRY_NS);
 }
 
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -23,7 +23,7 @@
 static void
 lease_schedule(struct kwb_store_lease *lease, uint64_t delay_ns)
 {
-	kwb_timer_at(lease->timer, kwb_clock_now_ns() + delay_ns);
+	kwb_timer_arm(lease->timer, kwb_clock_now_ns() + delay_ns);
 }
 
 static void
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -21,7 +21,7 @@
 		return;
 	watchdog->silent = false;
 	watchdog->give_up_before_ns = watchdog->probe_sent_ns;
-	kwb_timer_at(
+	kwb_timer_arm(
 	    watchdog->timer, kwb_clock_now_ns() + KWB_GIVE_UP_DELAY_NS);
 }
 
@@ -63,7 +63,7 @@
 		probe_send(watchdog);
 	if (!watchdog->silent)
 		watchdog->store->ops->resend_overdue(watchdog->store);
-	kwb_timer_at(watchdog->timer, now_ns + KWB_STORE_WATCHDOG_NS);
+	kwb_timer_arm(watchdog->timer, now_ns + KWB_STORE_WATCHDOG_NS);
 }
 
 int
@@ -75,7 +75,8 @@
 	watchdog->timer = kwb_timer_new(base, watchdog_on_timer, watchdog);
 	if (watchdog->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(watchdog->timer, kwb_clock_now_ns() + KWB_STORE_SILENT_NS);
+	kwb_timer_arm(
+	    watchdog->timer, kwb_clock_now_ns() + KWB_STORE_SILENT_NS);
 	return 0;
 }
 
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -130,7 +130,7 @@
 	mover->versions[i].version = version;
 	kwb_log(KWB_LOG_INFO, "mover", "event=named model=%s version=%llu",
 	    model, (unsigned long long)version);
-	kwb_timer_at(mover->timer, 0);
+	kwb_timer_arm(mover->timer, 0);
 }
 
 /* ---- Homes ----------------------------------------------------------------
@@ -325,7 +325,7 @@
 	if (mover->look_soon)
 		return;
 	mover->look_soon = true;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_MOVER_SOON_NS);
+	kwb_timer_arm(mover->timer, kwb_clock_now_ns() + KWB_MOVER_SOON_NS);
 }
 
 static void
@@ -340,7 +340,7 @@
 	(void)fd;
 	(void)what;
 	mover->look_soon = false;
-	kwb_timer_at(mover->timer, now_ns + KWB_MOVER_NS);
+	kwb_timer_arm(mover->timer, now_ns + KWB_MOVER_NS);
 	if (config == NULL || !mover->homes.synced ||
 	    kwb_store_lease_fence(&mover->lease) == 0)
 		return;
@@ -369,7 +369,7 @@
 		home->ordered = false;
 	}
 	mover->plan_ns = 0;
-	kwb_timer_at(mover->timer, 0);
+	kwb_timer_arm(mover->timer, 0);
 }
 
 int
@@ -385,7 +385,7 @@
 	mover->timer = kwb_timer_new(env->base, mover_time, mover);
 	if (mover->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(mover->timer, kwb_clock_now_ns() + KWB_MOVER_NS);
+	kwb_timer_arm(mover->timer, kwb_clock_now_ns() + KWB_MOVER_NS);
 	code = kwb_follower_init(&mover->homes, env->base, env->store,
 	    TABLE_HOMES, home_row, NULL, mover);
 	if (code != 0)
--- a/tests/fuzz/exchange.h
+++ b/tests/fuzz/exchange.h
@@ -29,7 +29,7 @@
 	struct fuzz_conn *fuzz = conn->context;
 
 	fuzz->on_message(&conn->message);
-	kwb_conn_next(conn);
+	kwb_conn_read_next(conn);
 }
 
 static void
@@ -46,7 +46,7 @@
 
 /* The first byte says in pieces of which length the others come. */
 static void
-fuzz_feed(const uint8_t *data, size_t length_bytes, bool server,
+fuzz_feed(const uint8_t *data, size_t length_bytes, bool is_server,
     void (*on_message)(const struct kwb_message *message))
 {
 	static struct event_base *base;
@@ -67,8 +67,8 @@
 		abort();
 	fuzz.conn.head_max_bytes = 8192;
 	fuzz.conn.body_max_bytes = 65536;
-	if (!server) {
-		fuzz.conn.server = false;
+	if (!is_server) {
+		fuzz.conn.is_server = false;
 		http_parser_init(&fuzz.conn.parser, HTTP_RESPONSE);
 		fuzz.conn.parser.data = &fuzz.conn;
 	}
--- a/tests/fuzz/stream.c
+++ b/tests/fuzz/stream.c
@@ -14,7 +14,7 @@
 };
 
 static void
-on_event(void *context, const struct kwb_event *event)
+on_event(void *context, const struct kwb_sse_event *event)
 {
 	struct told *told = context;
 	size_t i;
@@ -28,13 +28,13 @@
 static int
 feed(const uint8_t *data, size_t length_bytes, size_t piece, struct told *told)
 {
-	struct kwb_events events;
+	struct kwb_sse_parser events;
 	struct kwb_buf bytes;
 	size_t at;
 	int code = 0;
 
 	memset(told, 0, sizeof(*told));
-	kwb_events_init(&events, "weight-versions");
+	kwb_sse_parser_init(&events, "weight-versions");
 	kwb_buf_init(&bytes);
 	for (at = 0; at < length_bytes && code == 0; at += piece) {
 		size_t left = length_bytes - at;
@@ -42,9 +42,9 @@
 		if (kwb_buf_add(
 			&bytes, data + at, left < piece ? left : piece) != 0)
 			abort();
-		code = kwb_events_feed(&events, &bytes, on_event, told);
+		code = kwb_sse_parser_feed(&events, &bytes, on_event, told);
 	}
-	kwb_events_finish(&events);
+	kwb_sse_parser_finish(&events);
 	kwb_buf_finish(&bytes);
 	return code;
 }
@@ -67,7 +67,7 @@
 		abort();
 	kwb_buf_init(&bytes);
 	if (kwb_buf_add(&bytes, data, length_bytes) != 0 ||
-	    kwb_events_whole(&bytes, &last) > length_bytes)
+	    kwb_sse_whole_bytes(&bytes, &last) > length_bytes)
 		abort();
 	kwb_buf_finish(&bytes);
 	return 0;
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1043,7 +1043,7 @@
 };
 
 static void
-on_event(void *context, const struct kwb_event *event)
+on_event(void *context, const struct kwb_sse_event *event)
 {
 	struct collected *collected = context;
 
@@ -1063,21 +1063,21 @@
 				   "weight-versions: 3\r\nid: 2\r\ndata: c\r\n"
 				   "\r\nid: 3\ndata: cut off\n";
 	struct collected collected;
-	struct kwb_events events;
+	struct kwb_sse_parser events;
 	struct kwb_buf bytes;
 	size_t step;
 	size_t at;
 
 	for (step = 1; step < sizeof(text); step++) {
 		memset(&collected, 0, sizeof(collected));
-		kwb_events_init(&events, "weight-versions");
+		kwb_sse_parser_init(&events, "weight-versions");
 		kwb_buf_init(&bytes);
 		for (at = 0; at < sizeof(text) - 1; at += step) {
 			size_t left = sizeof(text) - 1 - at;
 
 			kwb_buf_add(
 			    &bytes, text + at, left < step ? left : step);
-			CU_ASSERT_EQUAL(kwb_events_feed(&events, &bytes,
+			CU_ASSERT_EQUAL(kwb_sse_parser_feed(&events, &bytes,
 					    on_event, &collected),
 			    0);
 		}
@@ -1085,7 +1085,7 @@
 		CU_ASSERT_EQUAL(collected.last_id, 2);
 		CU_ASSERT_EQUAL(collected.version, 3);
 		CU_ASSERT_STRING_EQUAL(collected.data, "c");
-		kwb_events_finish(&events);
+		kwb_sse_parser_finish(&events);
 		kwb_buf_finish(&bytes);
 	}
 }
@@ -1492,22 +1492,22 @@
 static void
 test_long_event(void)
 {
-	static char text[KWB_EVENT_MAX_BYTES / 4];
-	struct kwb_events events;
+	static char text[KWB_SSE_EVENT_MAX_BYTES / 4];
+	struct kwb_sse_parser events;
 	struct kwb_buf bytes;
 	int code = 0;
 	unsigned i;
 
 	memset(text, 'x', sizeof(text));
-	kwb_events_init(&events, "v");
+	kwb_sse_parser_init(&events, "v");
 	kwb_buf_init(&bytes);
 	for (i = 0; i < 5 && code == 0; i++) {
 		CU_ASSERT_EQUAL(kwb_buf_add(&bytes, text, sizeof(text)), 0);
-		code = kwb_events_feed(&events, &bytes, NULL, NULL);
+		code = kwb_sse_parser_feed(&events, &bytes, NULL, NULL);
 	}
 	CU_ASSERT_EQUAL(i, 5);
 	CU_ASSERT_EQUAL(code, KWB_ERR_NET_BODY_SIZE);
-	kwb_events_finish(&events);
+	kwb_sse_parser_finish(&events);
 	kwb_buf_finish(&bytes);
 }
 
@@ -1704,7 +1704,7 @@
 
 	parsed->messages++;
 	platform_dialect.read_call(&conn->message, &call);
-	kwb_conn_next(conn);
+	kwb_conn_read_next(conn);
 }
 
 static void
--- a/tests/platform/port.c
+++ b/tests/platform/port.c
@@ -117,5 +117,5 @@
 	    status, http_status_str((enum http_status)status), headers,
 	    body_bytes);
 	evbuffer_add(out, body, body_bytes);
-	kwb_conn_next(&peer->conn);
+	kwb_conn_read_next(&peer->conn);
 }
--- a/tests/platform/proxy.c
+++ b/tests/platform/proxy.c
@@ -69,7 +69,7 @@
 
 	(void)bev;
 	if (pair->proxy->mode == PROXY_DELAY)
-		kwb_timer_at(
+		kwb_timer_arm(
 		    pair->timer, kwb_clock_now_ns() + DELAY_MS * KWB_MS_NS);
 	else
 		pair_pass(pair);
--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -107,7 +107,7 @@
 	memset(call, 0, sizeof(*call));
 	call->exchange.ops = &call_ops;
 	call->exchange.context = call;
-	call->exchange.fresh = true;
+	call->exchange.wants_new_conn = true;
 	if (kwb_exchange_start(&call->exchange, &stage->client, to, request) !=
 	    0) {
 		call->done = true;
@@ -156,7 +156,7 @@
 static void
 print_answer(struct script *script, struct call *call)
 {
-	struct kwb_message *answer = kwb_exchange_message(&call->exchange);
+	struct kwb_message *answer = kwb_exchange_answer(&call->exchange);
 	const char *after = kwb_message_header(answer, "Retry-After");
 	const char *receipt = kwb_message_header(answer, "Server-Stamp");
 	size_t i;
@@ -266,7 +266,7 @@
 		    request_new("POST", script->words[2], headers, "x", 1);
 		calls[i].exchange.ops = &call_ops;
 		calls[i].exchange.context = &calls[i];
-		calls[i].exchange.fresh = true;
+		calls[i].exchange.wants_new_conn = true;
 		if (kwb_exchange_start(&calls[i].exchange,
 			&script->stage.client, &node->settings.listen,
 			request) != 0)
@@ -281,7 +281,7 @@
 	most = most_resident_bytes(false);
 	for (i = 0; i < count; i++) {
 		whole += calls[i].done &&
-		    kwb_exchange_message(&calls[i].exchange)->status == 200;
+		    kwb_exchange_answer(&calls[i].exchange)->status == 200;
 		kwb_exchange_finish(&calls[i].exchange);
 	}
 	kwb_buf_printf(&script->out, "%u ended, %u with 200, %s %u MB\n", done,
@@ -437,10 +437,10 @@
 		    script->words[2], next);
 		simple_call(script, &call, script->words[1], "GET", target,
 		    "Wait-Ms: 500\r\n", "");
-		status = kwb_exchange_message(&call.exchange)->status;
+		status = kwb_exchange_answer(&call.exchange)->status;
 		document = json_loads(
-		    kwb_buf_text(&kwb_exchange_message(&call.exchange)->body),
-		    0, NULL);
+		    kwb_buf_text(&kwb_exchange_answer(&call.exchange)->body), 0,
+		    NULL);
 		if (status == 200) {
 			count = read_results(document, lines, count);
 			total = (unsigned)json_integer_value(
@@ -615,7 +615,7 @@
 	call_run(&script->stage, &call, &node->settings.ready,
 	    request_new("GET", "/readyz", "Host: x\r\n", "", 0), 0);
 	kwb_buf_printf(
-	    &script->out, "%u\n", kwb_exchange_message(&call.exchange)->status);
+	    &script->out, "%u\n", kwb_exchange_answer(&call.exchange)->status);
 	kwb_exchange_finish(&call.exchange);
 }
 
@@ -632,7 +632,7 @@
 
 	call_run(&script->stage, &call, &node->settings.metrics,
 	    request_new("GET", "/metrics", "Host: x\r\n", "", 0), 0);
-	text = kwb_buf_text(&kwb_exchange_message(&call.exchange)->body);
+	text = kwb_buf_text(&kwb_exchange_answer(&call.exchange)->body);
 	for (at = strstr(text, "# TYPE "); at != NULL;
 	     at = strstr(at + 1, "# TYPE ")) {
 		length = (int)strcspn(at + 7, "\n");
--- a/tests/platform/server.c
+++ b/tests/platform/server.c
@@ -103,7 +103,7 @@
 		evbuffer_add_printf(out,
 		    "HTTP/1.1 200 OK\r\n%sContent-Length: 100\r\n\r\nhalf",
 		    headers);
-		kwb_conn_end(&peer->conn);
+		kwb_conn_close_when_written(&peer->conn);
 		return true;
 	case SERVER_EXTRA:
 		evbuffer_add_printf(out,
@@ -113,16 +113,16 @@
 		evbuffer_add_printf(out,
 		    "HTTP/1.1 200 OK\r\nServer-Stamp: stamp-y\r\n"
 		    "Content-Length: 5\r\n\r\nextra");
-		kwb_conn_next(&peer->conn);
+		kwb_conn_read_next(&peer->conn);
 		return true;
 	case SERVER_UNFRAMED:
 		evbuffer_add_printf(
 		    out, "HTTP/1.1 200 OK\r\n%s\r\nto the end", headers);
-		kwb_conn_end(&peer->conn);
+		kwb_conn_close_when_written(&peer->conn);
 		return true;
 	case SERVER_GARBAGE:
 		evbuffer_add_printf(out, "this is no HTTP\r\n\r\n");
-		kwb_conn_end(&peer->conn);
+		kwb_conn_close_when_written(&peer->conn);
 		return true;
 	case SERVER_NO_RECEIPT:
 		peer_answer(peer, 200, "", "none", 4);
@@ -174,7 +174,7 @@
 	if (peer->timer != NULL)
 		event_free(peer->timer);
 	peer->timer = kwb_timer_new(peer->port->base, on_time, peer);
-	kwb_timer_at(peer->timer, deadline_ns);
+	kwb_timer_arm(peer->timer, deadline_ns);
 }
 
 #define TRICKLE_MS 100
@@ -187,7 +187,7 @@
 	(void)fd;
 	(void)what;
 	evbuffer_add_printf(kwb_conn_output(&peer->conn), ":\n");
-	kwb_timer_at(peer->timer, kwb_clock_now_ns() + TRICKLE_MS * KWB_MS_NS);
+	kwb_timer_arm(peer->timer, kwb_clock_now_ns() + TRICKLE_MS * KWB_MS_NS);
 }
 
 static void
@@ -202,7 +202,7 @@
 	memset(bytes, '1', sizeof(bytes));
 	if (evbuffer_get_length(out) < sizeof(bytes))
 		evbuffer_add(out, bytes, sizeof(bytes));
-	kwb_timer_at(peer->timer, kwb_clock_now_ns() + KWB_MS_NS);
+	kwb_timer_arm(peer->timer, kwb_clock_now_ns() + KWB_MS_NS);
 }
 
 static bool
@@ -245,7 +245,7 @@
 	(void)fd;
 	(void)what;
 	if (stream->server->fault == SERVER_STALL) {
-		kwb_timer_at(peer->timer,
+		kwb_timer_arm(peer->timer,
 		    kwb_clock_now_ns() + STALL_LOOK_MS * KWB_MS_NS);
 		return;
 	}
@@ -253,13 +253,13 @@
 		stream->next++;
 	if (stream->cut && stream->next == 3) {
 		chunk(out, "id: 3\nda"); /* in the middle of an event */
-		kwb_conn_end(&peer->conn);
+		kwb_conn_close_when_written(&peer->conn);
 		return;
 	}
 	if (stream->next > stream->total) {
 		evbuffer_add_printf(out, "0\r\n\r\n");
 		peer->port->on_gone(peer);
-		kwb_conn_next(&peer->conn);
+		kwb_conn_read_next(&peer->conn);
 		return;
 	}
 	snprintf(text, sizeof(text), "id: %u\ndata: word%u\n\n", stream->next,
@@ -267,7 +267,7 @@
 	chunk(out, text);
 	stream->run->sent = stream->next;
 	stream->next++;
-	kwb_timer_at(peer->timer,
+	kwb_timer_arm(peer->timer,
 	    kwb_clock_now_ns() + stream->server->pace_ms * KWB_MS_NS);
 }
 
--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -231,7 +231,7 @@
 static void
 actor_wait(struct actor *actor, unsigned wait_ms)
 {
-	kwb_timer_at(actor->timer, kwb_clock_now_ns() + wait_ms * KWB_MS_NS);
+	kwb_timer_arm(actor->timer, kwb_clock_now_ns() + wait_ms * KWB_MS_NS);
 }
 
 static void
@@ -278,7 +278,7 @@
 static void
 call_answered(struct actor *actor, int error)
 {
-	struct kwb_message *answer = kwb_exchange_message(&actor->exchange);
+	struct kwb_message *answer = kwb_exchange_answer(&actor->exchange);
 	struct call *call = actor->call;
 	char body[48];
 
@@ -434,7 +434,7 @@
 static void
 trainer_answered(struct actor *actor, int error)
 {
-	struct kwb_message *answer = kwb_exchange_message(&actor->exchange);
+	struct kwb_message *answer = kwb_exchange_answer(&actor->exchange);
 	struct batch *batch = actor->batch;
 	uint16_t status = error == 0 ? answer->status : 0;
 
--- a/tests/platform/store.c
+++ b/tests/platform/store.c
@@ -183,7 +183,7 @@
 		late->store = store;
 		TAILQ_INSERT_TAIL(&store->late, late, entry);
 		late->timer = kwb_timer_new(peer->port->base, late_time, late);
-		kwb_timer_at(
+		kwb_timer_arm(
 		    late->timer, kwb_clock_now_ns() + LATE_MS * KWB_MS_NS);
 		peer_close(peer, true);
 		return;
@@ -441,7 +441,7 @@
 		if (peer->work != NULL && !is_away(store) && feed_try(peer))
 			feed_end(peer);
 	}
-	kwb_timer_at(store->tick, kwb_clock_now_ns() + 5 * KWB_MS_NS);
+	kwb_timer_arm(store->tick, kwb_clock_now_ns() + 5 * KWB_MS_NS);
 }
 
 int
@@ -452,7 +452,7 @@
 	store->revision = 1;
 	TAILQ_INIT(&store->late);
 	store->tick = kwb_timer_new(base, on_tick, store);
-	kwb_timer_at(store->tick, kwb_clock_now_ns());
+	kwb_timer_arm(store->tick, kwb_clock_now_ns());
 	return port_open(&store->port, base, on_request, feed_end, store);
 }
 
