--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -41,16 +41,18 @@
 #define KWB_CONNECT_TIMEOUT_MS 500
 
 /* Connections to upstreams and store */
-#define KWB_IDLE_DEFAULT_MS 2000 /* kept idle when the server names no time */
-#define KWB_IDLE_MARGIN_MS 700	 /* closed this long before the server would */
-#define KWB_IDLE_CONNS_MAX 512	 /* idle connections of a node */
-#define KWB_IDLE_SWEEP_NS (500 * KWB_MS_NS)
-#define KWB_ANSWER_MAX_BYTES (9u << 20) /* an object of the store and more */
-#define KWB_ANSWER_BUDGET_BYTES                                                \
-	(16u << 20)			   /* of answers; a node has 160 MB    \
-					    */
-#define KWB_SSE_EVENT_MAX_BYTES (1u << 20) /* of a stream, line by line */
-#define KWB_EXCHANGE_CHECK_NS (250 * KWB_MS_NS) /* between looks at silence */
+/* A server that names no time is taken to keep idle connections this long. */
+#define KWB_IDLE_DEFAULT_MS 2000
+#define KWB_IDLE_MARGIN_MS 700 /* closed this long before the server would */
+#define KWB_IDLE_CONNS_MAX 512 /* idle connections of a node */
+#define KWB_IDLE_SWEEP_NS (500 * KWB_MS_NS) /* between looks for old ones */
+/* Body of one answer; an object of the store is smaller. */
+#define KWB_ANSWER_MAX_BYTES (9u << 20)
+/* Bodies of all answers being read; a node has 160 MB of memory. */
+#define KWB_ANSWER_BUDGET_BYTES (16u << 20)
+#define KWB_SSE_EVENT_MAX_BYTES (1u << 20) /* one server-sent event */
+/* The deadlines of an exchange are checked at least this often. */
+#define KWB_EXCHANGE_CHECK_NS (250 * KWB_MS_NS)
 
 /* Store of the platform */
 #define KWB_FEED_WAIT_MS 1500 /* a silent feed is noticed within 3 s */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1,10 +1,11 @@
 /*
  * knapweedbarrow: the API of a node on a shared platform, section by section.
  *
- * A node runs on one event loop. Nothing here blocks: calls that take time end
- * in a callback on the loop. Conventions of kwb.h hold: 0 or a negative
- * KWB_ERR_ number, init/finish pairs on memory the caller owns, deadlines in
- * nanoseconds of kwb_clock_now_ns(), units in names.
+ * A node runs on one event loop. No function blocks: operations that take time
+ * end with a callback on the loop. The conventions of kwb.h hold: functions
+ * return 0 or a negative KWB_ERR_ number, init/finish are pairs on memory that
+ * the caller owns, deadlines are nanoseconds of kwb_clock_now_ns(), and units
+ * stand in names.
  */
 #ifndef KWB_NODE_H
 #define KWB_NODE_H
@@ -23,227 +24,318 @@
 
 /* ---- Net: sockets ----------------------------------------------------- */
 
-void kwb_socket_set_no_delay(int fd); /* small writes go out at once */
+/*
+ * TCP sockets over IPv4. Functions return KWB_ERR_ARGUMENT if address->ip is
+ * not an IPv4 address.
+ */
+
+/* Sends small writes at once (TCP_NODELAY); logs a failure. */
+void kwb_socket_set_no_delay(int fd);
+/*
+ * Starts to accept connections. Logs and returns KWB_ERR_SYSTEM if the address
+ * can't be bound. The caller frees *listener with evconnlistener_free().
+ */
 int kwb_socket_listen(struct event_base *base,
     const struct kwb_address *address,
     void (*on_accept)(struct evconnlistener *listener, int fd,
 	struct sockaddr *from, int from_bytes, void *context),
-    void *context, struct evconnlistener **listener); /* begins to accept */
-int kwb_socket_connect(struct bufferevent *socket,
-    const struct kwb_address *address); /* begins a connection, no delay */
+    void *context, struct evconnlistener **listener);
+/* Starts to connect, with TCP_NODELAY; KWB_ERR_NET_CONNECT on failure. */
+int kwb_socket_connect(
+    struct bufferevent *socket, const struct kwb_address *address);
 
 /* ---- Net: HTTP/1.1 messages ------------------------------------------- */
 
+/* A header of a message. */
 struct kwb_header {
-	uint32_t name_offset;  /* offset into kwb_message.text */
-	uint32_t value_offset; /* offset into kwb_message.text */
+	uint32_t name_offset;  /* into kwb_message.text */
+	uint32_t value_offset; /* into kwb_message.text */
 };
 
+/* A request or an answer: start line, headers and body. */
 struct kwb_message {
-	char method[16];
-	uint16_t status; /* of an answer */
-	uint32_t target_offset;
+	char method[16];	/* of a request */
+	uint16_t status;	/* of an answer */
+	uint32_t target_offset; /* into text; of a request */
 	struct kwb_buf text; /* target, names and values, each ended by NUL */
 	struct kwb_header *headers;
 	uint32_t headers_count;
 	uint32_t headers_capacity;
 	struct kwb_buf body;
-	bool keep_alive;
-};
-
-void kwb_message_init(struct kwb_message *message);   /* empty message */
-void kwb_message_finish(struct kwb_message *message); /* frees it */
-void kwb_message_clear(struct kwb_message *message);  /* empty, keeps room */
-const char *kwb_message_target(
-    const struct kwb_message *message); /* path and query */
-const char *kwb_message_header(const struct kwb_message *message,
-    const char *name); /* first value of that name, NULL for none */
+	bool keep_alive; /* the connection can carry another message */
+};
+
+/* Makes an empty message. */
+void kwb_message_init(struct kwb_message *message);
+/* Frees the contents; the message is empty then. */
+void kwb_message_finish(struct kwb_message *message);
+/* Empties the message and keeps its allocated memory. */
+void kwb_message_clear(struct kwb_message *message);
+/* Path and query of a request. */
+const char *kwb_message_target(const struct kwb_message *message);
+/* Value of the first header of that name, ignoring case; NULL: none. */
+const char *kwb_message_header(
+    const struct kwb_message *message, const char *name);
+/* Name of a header by its index, which is below headers_count. */
 const char *kwb_message_header_name(
-    const struct kwb_message *message, uint32_t index); /* name by index */
+    const struct kwb_message *message, uint32_t index);
+/* Value of a header by its index, which is below headers_count. */
 const char *kwb_message_header_value(
-    const struct kwb_message *message, uint32_t index); /* value by index */
-int kwb_message_add_header(struct kwb_message *message, const char *name,
-    const char *value); /* appends a header */
-int kwb_message_copy(struct kwb_message *to,
-    const struct kwb_message *from); /* head and body, into an empty one */
+    const struct kwb_message *message, uint32_t index);
+/* Appends a header; KWB_ERR_MEMORY on failure. */
+int kwb_message_add_header(
+    struct kwb_message *message, const char *name, const char *value);
+/* Copies head and body into an empty message; KWB_ERR_MEMORY on failure. */
+int kwb_message_copy(struct kwb_message *to, const struct kwb_message *from);
 
 /* ---- Net: connections --------------------------------------------------- */
 
+/*
+ * A connection that carries HTTP/1.1 messages, as a server or a client. It
+ * reads one message at a time: after on_message, parsing pauses until
+ * kwb_conn_read_next().
+ */
 struct kwb_conn;
 
-/* Bytes of bodies that several connections hold together. */
+/* Limit on the bytes of bodies that several connections buffer together. */
 struct kwb_body_budget {
-	uint64_t bytes;
+	uint64_t bytes; /* buffered now */
 	uint64_t max_bytes;
 };
 
+/* Each callback may call kwb_conn_finish(). */
 struct kwb_conn_ops {
-	void (*on_head)(struct kwb_conn *conn); /* may set conn->is_streaming */
-	void (*on_data)(struct kwb_conn *conn); /* more in message.body */
+	/* The head is parsed; may set conn->is_streaming. May be NULL. */
+	void (*on_head)(struct kwb_conn *conn);
+	/* Streaming only: takes all bytes out of message.body. */
+	void (*on_data)(struct kwb_conn *conn);
+	/* The message is whole. */
 	void (*on_message)(struct kwb_conn *conn);
+	/*
+	 * No more messages follow. error: KWB_ERR_NET_ number, or 0 after
+	 * kwb_conn_close_when_written().
+	 */
 	void (*on_close)(struct kwb_conn *conn, int error);
 };
 
 struct kwb_conn {
 	const struct kwb_conn_ops *ops;
-	void *context;
+	void *context; /* of the owner */
 	struct bufferevent *bev;
 	struct http_parser parser;
-	struct kwb_message message;
-	uint32_t head_bytes;
-	uint32_t head_max_bytes;
-	uint64_t body_max_bytes;
-	struct kwb_body_budget
-	    *body_budget; /* counts bodies with those of others, or NULL */
-	uint64_t budgeted_bytes; /* of this one */
+	struct kwb_message message;	     /* the one being read */
+	uint32_t head_bytes;		     /* of target and headers so far */
+	uint32_t head_max_bytes;	     /* 0: no limit */
+	uint64_t body_max_bytes;	     /* 0: no limit */
+	struct kwb_body_budget *body_budget; /* shared; NULL: no limit */
+	uint64_t budgeted_bytes; /* share of this connection in the budget */
 	bool is_server;		 /* parses requests */
-	bool is_streaming; /* on_data tells of body bytes as they arrive */
-	bool has_no_body;  /* answer to HEAD */
-	bool is_in_header_value;
-	bool has_head;
-	bool is_body_too_large; /* announced longer than allowed */
-	bool is_head_reported;
-	bool is_complete;
+	bool is_streaming;	 /* body bytes are reported as they arrive */
+	bool has_no_body;	 /* set before an answer to HEAD is read */
+	bool is_in_header_value; /* a header value is being collected */
+	bool has_head; /* head parsed, message not yet reported as whole */
+	bool is_body_too_large; /* by its Content-Length or the budget */
+	bool is_head_reported;	/* on_head was called for this message */
+	bool is_complete;	/* message is whole; parsing is paused */
 	bool is_connected;
-	bool is_closing;   /* ends once all output is written */
-	bool *is_finished; /* set when finished inside a callback */
+	bool is_closing; /* closes once all output is written */
+	/* During callbacks a flag that kwb_conn_finish() sets, else NULL. */
+	bool *is_finished;
 };
 
+/*
+ * Serves an accepted socket and takes it over; KWB_ERR_MEMORY on failure, fd is
+ * the caller's then.
+ */
 int kwb_conn_accept(struct kwb_conn *conn, struct event_base *base, int fd,
-    const struct kwb_conn_ops *ops, void *context); /* serves an open fd */
+    const struct kwb_conn_ops *ops, void *context);
+/*
+ * Starts to connect; output may be written at once. Returns KWB_ERR_MEMORY,
+ * KWB_ERR_ARGUMENT or KWB_ERR_NET_CONNECT on failure.
+ */
 int kwb_conn_connect(struct kwb_conn *conn, struct event_base *base,
     const struct kwb_address *address, const struct kwb_conn_ops *ops,
-    void *context);			     /* begins a connection */
-void kwb_conn_finish(struct kwb_conn *conn); /* closes; no callback follows */
-void kwb_conn_reset(struct kwb_conn *conn);  /* closes with a TCP reset */
-void kwb_conn_read_next(struct kwb_conn *conn); /* reads the next message */
-void kwb_conn_close_when_written(
-    struct kwb_conn *conn); /* closes after all is written */
+    void *context);
+/* Closes at once; no callback follows. */
+void kwb_conn_finish(struct kwb_conn *conn);
+/* Like kwb_conn_finish(), with a TCP reset. */
+void kwb_conn_reset(struct kwb_conn *conn);
+/* Drops the whole message and reads the next one. */
+void kwb_conn_read_next(struct kwb_conn *conn);
+/* Reads no more; calls on_close with 0 once all output is written. */
+void kwb_conn_close_when_written(struct kwb_conn *conn);
+/* Buffer of the bytes to send. */
 struct evbuffer *kwb_conn_output(struct kwb_conn *conn);
 
 /* ---- Net: exchanges over kept connections ------------------------------- */
 
-struct kwb_pooled_conn; /* a kept connection to one address */
+/*
+ * An HTTP client that keeps connections open and uses them again. An exchange
+ * is one request and its answer.
+ */
+struct kwb_pooled_conn; /* a connection of the client to one address */
 TAILQ_HEAD(kwb_pooled_conns, kwb_pooled_conn);
 
 struct kwb_client {
 	struct event_base *base;
 	struct kwb_pooled_conns idle_conns;
-	struct event *sweep_timer;
+	struct event *sweep_timer; /* closes connections idle for too long */
 	uint32_t idle_count;
-	uint64_t opened_count;
-	uint64_t answer_max_bytes; /* a longer body is an error */
-	struct kwb_body_budget
-	    body_budget; /* of all answers that are being read */
+	uint64_t opened_count;		    /* connections opened so far */
+	uint64_t answer_max_bytes;	    /* a longer body is an error */
+	struct kwb_body_budget body_budget; /* of all answers being read */
 };
 
 struct kwb_exchange;
 
 struct kwb_exchange_ops {
-	void (*on_head)(struct kwb_exchange *exchange); /* may be NULL */
-	void (*on_data)(struct kwb_exchange *exchange); /* may be NULL */
+	/*
+	 * The answer's head is parsed; may set is_streaming, but must not
+	 * finish the exchange. May be NULL.
+	 */
+	void (*on_head)(struct kwb_exchange *exchange);
+	/*
+	 * Streaming only: takes all bytes out of the answer's body. May be NULL
+	 * if is_streaming is never set.
+	 */
+	void (*on_data)(struct kwb_exchange *exchange);
+	/* The answer is whole (error 0), or failed with a KWB_ERR_NET_. */
 	void (*on_done)(struct kwb_exchange *exchange, int error);
 };
 
-/* One request and its answer; lives in memory of the caller. */
+/*
+ * One request and its answer; its memory is the caller's. Zero it and set ops,
+ * context, deadline_ns, max_silence_ns, is_streaming, wants_new_conn and
+ * has_no_body before the start.
+ */
 struct kwb_exchange {
 	const struct kwb_exchange_ops *ops;
 	void *context;
 	struct kwb_client *client;
-	struct kwb_pooled_conn *pooled;
+	struct kwb_pooled_conn *pooled; /* in use; NULL once done */
 	struct event *timer;
-	uint64_t deadline_ns;	      /* no answer after this; 0 for none */
-	uint64_t silence_deadline_ns; /* moves on with each byte; 0 for none */
-	uint64_t max_silence_ns;      /* allowed between bytes */
+	uint64_t deadline_ns;	      /* of the whole answer; 0: none */
+	uint64_t silence_deadline_ns; /* of the next bytes; 0: none */
+	uint64_t max_silence_ns;      /* between bytes; 0: no limit */
 	uint64_t connect_deadline_ns;
-	bool is_streaming;
-	bool wants_new_conn;	   /* wants a new connection */
-	bool is_conn_reused;	   /* went out on a kept connection */
-	bool has_no_body;	   /* request was a HEAD */
+	bool is_streaming;	   /* calls on_data as body bytes arrive */
+	bool wants_new_conn;	   /* takes no kept connection */
+	bool is_conn_reused;	   /* was sent on a kept connection */
+	bool has_no_body;	   /* of the answer; the request is a HEAD */
 	struct kwb_message answer; /* once it is whole */
 };
 
-int kwb_client_init(
-    struct kwb_client *client, struct event_base *base); /* no connections */
-void kwb_client_finish(struct kwb_client *client);	 /* closes the idle */
-bool kwb_client_has_idle(const struct kwb_client *client,
-    const struct kwb_address *address); /* a kept connection is free */
-void kwb_client_close_idle(struct kwb_client *client,
-    const struct kwb_address *address); /* closes idle ones to an address */
+/* Makes a client without connections; KWB_ERR_MEMORY on failure. */
+int kwb_client_init(struct kwb_client *client, struct event_base *base);
+/* Closes the idle connections. All exchanges must have been finished. */
+void kwb_client_finish(struct kwb_client *client);
+/* Whether an idle connection to that address can be used. */
+bool kwb_client_has_idle(
+    const struct kwb_client *client, const struct kwb_address *address);
+/* Closes the idle connections to an address. */
+void kwb_client_close_idle(
+    struct kwb_client *client, const struct kwb_address *address);
+/*
+ * Sends the bytes of request and empties it. After a return of 0, on_done is
+ * called once, later, unless the exchange is finished before. Returns
+ * KWB_ERR_MEMORY or KWB_ERR_NET_CONNECT on failure, without a callback.
+ */
 int kwb_exchange_start(struct kwb_exchange *exchange, struct kwb_client *client,
-    const struct kwb_address *address,
-    struct evbuffer *request); /* takes the bytes of request */
-bool kwb_exchange_is_connected(
-    const struct kwb_exchange *exchange); /* has an open connection */
-void kwb_exchange_finish(struct kwb_exchange
-	*exchange); /* closes what is in progress, frees the answer */
-struct kwb_message *kwb_exchange_answer(
-    struct kwb_exchange *exchange); /* the answer so far */
+    const struct kwb_address *address, struct evbuffer *request);
+/* Whether the exchange is in progress on an established connection. */
+bool kwb_exchange_is_connected(const struct kwb_exchange *exchange);
+/* Cancels the exchange if it is in progress; frees the answer. */
+void kwb_exchange_finish(struct kwb_exchange *exchange);
+/* The answer, as far as it has been read. */
+struct kwb_message *kwb_exchange_answer(struct kwb_exchange *exchange);
 
 /* ---- Net: server-sent events ------------------------------------------- */
 
+/* Events in answers of type text/event-stream. */
 struct kwb_sse_event {
 	uint64_t id;
 	bool has_id;
-	uint64_t version; /* of the weights, 0 when not named */
-	struct kwb_buf data;
+	uint64_t version;    /* of the weights; 0 when not named */
+	struct kwb_buf data; /* its data lines, joined by newlines */
 };
 
 struct kwb_sse_parser {
-	const char *version_field; /* field that names the weights' version */
-	struct kwb_buf line;
+	const char *version_field; /* name of the field with the version */
+	struct kwb_buf line;	   /* the one being read */
 	struct kwb_sse_event event;
 	bool has_field; /* a field of the current event has been read */
 };
 
+/* Makes a parser for a new stream; version_field must outlive it. */
 void kwb_sse_parser_init(
-    struct kwb_sse_parser *parser, const char *version_field); /* none yet */
-void kwb_sse_parser_finish(struct kwb_sse_parser *parser);     /* frees it */
-size_t kwb_sse_whole_bytes(const struct kwb_buf *bytes,
-    uint64_t *last_id); /* length of the whole events in front */
+    struct kwb_sse_parser *parser, const char *version_field);
+/* Frees what is buffered. */
+void kwb_sse_parser_finish(struct kwb_sse_parser *parser);
+/*
+ * Length of the whole events at the front of bytes. *last_id becomes the id of
+ * the last of them that has one; it stays if none has.
+ */
+size_t kwb_sse_whole_bytes(const struct kwb_buf *bytes, uint64_t *last_id);
+/*
+ * Consumes all bytes and calls on_event for each event that is whole. Returns
+ * KWB_ERR_MEMORY, or KWB_ERR_NET_BODY_SIZE for an event of more than
+ * KWB_SSE_EVENT_MAX_BYTES.
+ */
 int kwb_sse_parser_feed(struct kwb_sse_parser *parser, struct kwb_buf *bytes,
     void (*on_event)(void *context, const struct kwb_sse_event *event),
-    void *context); /* takes all bytes, tells of whole events */
+    void *context);
 
-/* ---- Index of items by name ---------------------------------------------- */
+/* ---- Index: pointers by name --------------------------------------------- */
 
+/* A hash table with open addressing and linear probing. */
 struct kwb_index_slot {
-	const char *name;
+	const char *name; /* NULL: never used */
 	void *value;
 };
 
 struct kwb_index {
 	struct kwb_index_slot *slots;
-	uint32_t capacity;   /* a power of two */
-	uint32_t used_slots; /* removed ones, too */
-};
-
-uint64_t kwb_text_hash(const char *text,
-    uint64_t
-	previous_hash); /* of the text and what was before it, 0 for nothing */
-void kwb_index_init(struct kwb_index *index);	/* empty */
-void kwb_index_finish(struct kwb_index *index); /* frees it, not the items */
-void *kwb_index_get(
-    const struct kwb_index *index, const char *name); /* NULL for none */
-int kwb_index_put(struct kwb_index *index, const char *name,
-    void *value); /* the name lives as long as the item */
+	uint32_t capacity;   /* number of slots; 0 or a power of two */
+	uint32_t used_slots; /* includes removed entries */
+};
+
+/* 64-bit FNV-1a; previous_hash: of the text in front of this, 0 for none. */
+uint64_t kwb_text_hash(const char *text, uint64_t previous_hash);
+/* Makes an empty index. */
+void kwb_index_init(struct kwb_index *index);
+/* Frees the table, but not the values. */
+void kwb_index_finish(struct kwb_index *index);
+/* The value of that name; NULL for none. */
+void *kwb_index_get(const struct kwb_index *index, const char *name);
+/*
+ * Adds or replaces a value. The index keeps the pointer to name, which must
+ * stay valid until the entry is removed. KWB_ERR_MEMORY on failure.
+ */
+int kwb_index_put(struct kwb_index *index, const char *name, void *value);
+/* Removes an entry; does nothing when there is none. */
 void kwb_index_remove(struct kwb_index *index, const char *name);
 
 /* ---- Text --------------------------------------------------------------- */
 
-int kwb_base64_encode(struct kwb_buf *out, const void *data,
-    size_t length_bytes); /* appends text */
-int kwb_base64_decode(struct kwb_buf *out, const char *text,
-    size_t length_bytes); /* appends bytes */
+/* Appends data as Base64 text to out; KWB_ERR_MEMORY on failure. */
+int kwb_base64_encode(
+    struct kwb_buf *out, const void *data, size_t length_bytes);
+/*
+ * Appends the bytes of a Base64 text to out; KWB_ERR_ARGUMENT when it is not
+ * valid, KWB_ERR_MEMORY on failure.
+ */
+int kwb_base64_decode(
+    struct kwb_buf *out, const char *text, size_t length_bytes);
 
 /* ---- Timers ------------------------------------------------------------- */
 
+/* Makes a timer, not armed; NULL on failure. Freed with event_free(). */
 struct event *kwb_timer_new(struct event_base *base,
-    void (*on_timer)(int fd, short what, void *context),
-    void *context); /* not armed */
-void kwb_timer_arm(
-    struct event *timer, uint64_t deadline_ns); /* arms for a deadline */
-uint64_t kwb_boot_now_ns(void); /* counts time while suspended, too */
+    void (*on_timer)(int fd, short what, void *context), void *context);
+/* Arms or moves it; fires once, on the loop, even when already past. */
+void kwb_timer_arm(struct event *timer, uint64_t deadline_ns);
+/* Time since the machine's boot; counts while it is suspended, too. */
+uint64_t kwb_boot_now_ns(void);
 
 /* ---- Store: rows, transactions, feeds, objects --------------------------- */
 
