--- a/src/core/index.c
+++ b/src/core/index.c
@@ -1,5 +1,5 @@
 /*
- * An index of items by name. Names belong to the items and live as long.
+ * A hash table of pointers by name, with open addressing and linear probing.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 
 #define INITIAL_CAPACITY 64
 
-/* In place of a name that was removed: the search goes on behind it. */
+/* Marks a removed entry, by its address; probing goes on behind it. */
 static const char tombstone[] = "";
 
 uint64_t
@@ -81,7 +81,7 @@
 	for (i = 0; i < old.capacity; i++)
 		live_slots +=
 		    old.slots[i].name != NULL && old.slots[i].name != tombstone;
-	/* Where removed names fill it, the same capacity is made new. */
+	/* If removed entries fill the table, it is rebuilt at the same size. */
 	if (old.capacity == 0)
 		index->capacity = INITIAL_CAPACITY;
 	else if (live_slots * 4 >= old.capacity)
--- a/src/core/timer.c
+++ b/src/core/timer.c
@@ -1,6 +1,6 @@
 /*
- * Timers of the event loop, armed for a deadline, and the clock that goes on
- * while a machine is suspended.
+ * Timers of the event loop, armed for a deadline, and the clock that also
+ * counts while the machine is suspended.
  */
 #include <event2/event.h>
 #include <sys/time.h>
@@ -19,12 +19,12 @@
 kwb_timer_arm(struct event *timer, uint64_t deadline_ns)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	uint64_t left_us =
+	uint64_t delay_us =
 	    deadline_ns > now_ns ? (deadline_ns - now_ns) / 1000 : 0;
-	struct timeval left = {.tv_sec = (time_t)(left_us / 1000000),
-	    .tv_usec = (suseconds_t)(left_us % 1000000)};
+	struct timeval delay = {.tv_sec = (time_t)(delay_us / 1000000),
+	    .tv_usec = (suseconds_t)(delay_us % 1000000)};
 
-	event_add(timer, &left);
+	event_add(timer, &delay);
 }
 
 uint64_t
