--- a/src/net/client.c
+++ b/src/net/client.c
@@ -1,7 +1,7 @@
 /*
- * Exchanges with servers over kept connections, one exchange at a time on
- * each. A connection goes back to the idle ones only after a whole answer
- * with nothing behind it.
+ * Requests to servers and their answers, over a pool of connections that carry
+ * one exchange at a time. A connection returns to the pool only after a whole
+ * answer with no bytes behind it.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -16,13 +16,13 @@
 	struct kwb_client *client;
 	struct kwb_address address;
 	struct kwb_exchange *exchange; /* NULL while idle */
-	uint64_t idle_deadline_ns;
+	uint64_t idle_deadline_ns;     /* closed unless used before */
 	TAILQ_ENTRY(kwb_pooled_conn) entry;
 };
 
-/* Closes an idle connection. */
+/* Closes an idle connection and frees it. */
 static void
-pooled_free(struct kwb_pooled_conn *pooled)
+pooled_close_idle(struct kwb_pooled_conn *pooled)
 {
 	TAILQ_REMOVE(&pooled->client->idle_conns, pooled, entry);
 	pooled->client->idle_count--;
@@ -38,7 +38,9 @@
 	    strcmp(pooled->address.ip, address->ip) == 0;
 }
 
-/* How long the server keeps an idle connection, by its Keep-Alive header.
+/*
+ * How long a connection may stay idle: the time in the server's Keep-Alive
+ * header, or a default, less a margin; 0: close it.
  */
 static uint64_t
 idle_limit_ns(const struct kwb_message *message)
@@ -55,7 +57,9 @@
 	return (limit_ms - KWB_IDLE_MARGIN_MS) * KWB_MS_NS;
 }
 
-/* Takes the connection from its exchange and keeps it for idle_ns, 0 to close.
+/*
+ * Takes the connection from the exchange and keeps it idle for up to idle_ns;
+ * 0: closes it. Frees the timer, too.
  */
 static void
 exchange_release_conn(struct kwb_exchange *exchange, uint64_t idle_ns)
@@ -97,8 +101,8 @@
 	struct kwb_exchange *exchange = pooled->exchange;
 
 	if (exchange == NULL) {
-		pooled_free(
-		    pooled); /* an answer to nothing, maybe without end */
+		/* An answer without a request; it may never end. */
+		pooled_close_idle(pooled);
 		return;
 	}
 	if (exchange->max_silence_ns != 0)
@@ -122,8 +126,10 @@
 	exchange->ops->on_data(exchange);
 }
 
-/* The answer moves to the exchange, so that the connection can serve the
- * callee. */
+/*
+ * Moves the answer to the exchange first, so that on_done() can use the
+ * connection for another exchange.
+ */
 static void
 pooled_on_message(struct kwb_conn *conn)
 {
@@ -133,7 +139,7 @@
 	uint64_t idle_ns = idle_limit_ns(&conn->message);
 
 	if (exchange == NULL) {
-		pooled_free(pooled); /* an answer to nothing */
+		pooled_close_idle(pooled); /* answer without a request */
 		return;
 	}
 	kwb_message_finish(&exchange->answer);
@@ -150,7 +156,7 @@
 	struct kwb_exchange *exchange = pooled->exchange;
 
 	if (exchange == NULL) {
-		pooled_free(pooled);
+		pooled_close_idle(pooled);
 		return;
 	}
 	if (error == KWB_ERR_NET_RESET || error == KWB_ERR_NET_CLOSED)
@@ -190,7 +196,7 @@
 	kwb_timer_arm(exchange->timer, next_ns < check_ns ? next_ns : check_ns);
 }
 
-/* Ends an exchange whose time is up; a moved deadline only arms it again. */
+/* Ends the exchange at its deadline; arms again if bytes have moved that. */
 static void
 exchange_on_timer(int fd, short what, void *context)
 {
@@ -273,7 +279,7 @@
 	if (exchange->max_silence_ns != 0)
 		exchange->silence_deadline_ns =
 		    kwb_clock_now_ns() + exchange->max_silence_ns;
-	exchange_arm_timer(exchange); /* ends later, even if paused until now */
+	exchange_arm_timer(exchange); /* never ends here, even when overdue */
 	return 0;
 }
 
@@ -311,7 +317,7 @@
 	for (; pooled != NULL; pooled = next) {
 		next = TAILQ_NEXT(pooled, entry);
 		if (pooled->idle_deadline_ns <= now_ns)
-			pooled_free(pooled);
+			pooled_close_idle(pooled);
 	}
 	kwb_timer_arm(client->sweep_timer, now_ns + KWB_IDLE_SWEEP_NS);
 }
@@ -341,7 +347,7 @@
 
 	for (; pooled != NULL; pooled = next) {
 		next = TAILQ_NEXT(pooled, entry);
-		pooled_free(pooled);
+		pooled_close_idle(pooled);
 	}
 	event_free(client->sweep_timer);
 }
@@ -370,6 +376,6 @@
 	for (; pooled != NULL; pooled = next) {
 		next = TAILQ_NEXT(pooled, entry);
 		if (pooled_is_to(pooled, address))
-			pooled_free(pooled);
+			pooled_close_idle(pooled);
 	}
 }
--- a/src/net/conn.c
+++ b/src/net/conn.c
@@ -1,6 +1,7 @@
 /*
- * One HTTP/1.1 connection on the event loop. The parser only collects; the
- * callbacks run after it has returned, so that they may finish the connection.
+ * One HTTP/1.1 connection on the event loop. The parser only stores what it
+ * reads; callbacks of the owner run after it has returned, so that they may
+ * finish the connection.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -11,7 +12,7 @@
 
 #include "kwb_node.h"
 
-#define PARSE_MAX_BYTES 65536
+#define PARSE_MAX_BYTES 65536 /* of input per call of the parser */
 
 static struct kwb_conn *
 conn_from_parser(http_parser *parser)
@@ -29,7 +30,7 @@
 	return kwb_buf_add(&conn->message.text, at, length);
 }
 
-/* Ends the text that was being collected. */
+/* Ends the target, name or value that is being collected. */
 static int
 text_terminate(struct kwb_conn *conn)
 {
@@ -63,14 +64,14 @@
 
 	if (message->headers_count == 0 && conn->head_bytes > 0 &&
 	    !conn->is_in_header_value && text_terminate(conn) != 0)
-		return -1; /* the target ends here */
+		return -1; /* the target ended here */
 	if (conn->is_in_header_value || message->headers_count == 0) {
 		if (conn->is_in_header_value && text_terminate(conn) != 0)
 			return -1;
 		conn->is_in_header_value = false;
 		if (kwb_message_add_header(message, "", "") != 0)
 			return -1;
-		message->text.used_bytes -= 2;
+		message->text.used_bytes -= 2; /* NULs of both texts */
 		message->headers[message->headers_count - 1].name_offset =
 		    (uint32_t)message->text.used_bytes;
 	}
@@ -107,19 +108,19 @@
 		    http_method_str((enum http_method)parser->method));
 	message->keep_alive = http_should_keep_alive(parser) != 0;
 	if (conn->is_server && parser->upgrade != 0)
-		return -1; /* no other protocol is spoken here */
+		return -1; /* no upgrade to another protocol */
 	if (!conn->is_server && message->status / 100 == 1)
 		return 0;
 	conn->is_body_too_large = conn->body_max_bytes != 0 &&
 	    !conn->has_no_body && parser->content_length != UINT64_MAX &&
 	    parser->content_length > conn->body_max_bytes;
 	if (conn->is_body_too_large)
-		return -1; /* refused before it is read */
+		return -1; /* before any of it is read */
 	conn->has_head = true;
-	return conn->has_no_body ? 1 : 0;
+	return conn->has_no_body ? 1 : 0; /* 1: no body follows */
 }
 
-/* Its body has been passed on, or is dropped. */
+/* Gives back its share when the body was passed on or is dropped. */
 static void
 budget_release(struct kwb_conn *conn)
 {
@@ -128,7 +129,7 @@
 	conn->budgeted_bytes = 0;
 }
 
-/* False when connections hold too much already: this one has to end. */
+/* False when the budget is used up; this connection has to end then. */
 static bool
 budget_reserve(struct kwb_conn *conn, size_t length)
 {
@@ -163,7 +164,7 @@
 	struct kwb_conn *conn = conn_from_parser(parser);
 
 	if (!conn->has_head)
-		return 0; /* an interim answer */
+		return 0; /* an interim answer (1xx) */
 	conn->is_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
@@ -179,7 +180,7 @@
     .on_message_complete = on_message_complete,
 };
 
-/* Tells what the parser has found; false when the connection is finished. */
+/* Calls back for what was parsed; false when the connection is finished. */
 static bool
 conn_report(struct kwb_conn *conn, const bool *is_finished)
 {
@@ -204,7 +205,7 @@
 }
 
 static int
-parse_error(const struct kwb_conn *conn)
+conn_parse_error(const struct kwb_conn *conn)
 {
 	if (conn->head_max_bytes != 0 &&
 	    conn->head_bytes > conn->head_max_bytes)
@@ -224,29 +225,29 @@
 	conn->ops->on_close(conn, error);
 }
 
-/* Parses what has arrived until a message is whole. */
+/* Parses the input until a message is whole; the rest waits. */
 static void
 conn_process(struct kwb_conn *conn)
 {
 	struct evbuffer *input = bufferevent_get_input(conn->bev);
 	struct evbuffer_iovec span;
 	bool is_finished = false;
-	size_t used;
-	enum http_errno code;
+	size_t parsed_bytes;
+	enum http_errno parser_error;
 
 	conn->is_finished = &is_finished;
 	while (!conn->is_complete && evbuffer_get_length(input) > 0) {
 		if (evbuffer_peek(input, PARSE_MAX_BYTES, NULL, &span, 1) < 1)
 			break;
-		used = http_parser_execute(&conn->parser, &parser_settings,
-		    span.iov_base, span.iov_len);
-		code = HTTP_PARSER_ERRNO(&conn->parser);
-		evbuffer_drain(input, used);
+		parsed_bytes = http_parser_execute(&conn->parser,
+		    &parser_settings, span.iov_base, span.iov_len);
+		parser_error = HTTP_PARSER_ERRNO(&conn->parser);
+		evbuffer_drain(input, parsed_bytes);
 		if (!conn_report(conn, &is_finished))
 			return;
-		if (code != HPE_OK && code != HPE_PAUSED) {
+		if (parser_error != HPE_OK && parser_error != HPE_PAUSED) {
 			conn->is_finished = NULL;
-			conn_fail(conn, parse_error(conn));
+			conn_fail(conn, conn_parse_error(conn));
 			return;
 		}
 	}
@@ -273,7 +274,7 @@
 		conn->ops->on_close(conn, 0);
 }
 
-/* The peer has closed: a message without length is whole now. */
+/* The peer has closed; a message of unknown length is whole now. */
 static void
 conn_on_eof(struct kwb_conn *conn)
 {
--- a/src/net/events.c
+++ b/src/net/events.c
@@ -1,6 +1,6 @@
 /*
- * Server-sent events out of a stream of bytes. An event that a broken stream
- * has cut short is never told of.
+ * Parser of server-sent events in a stream of bytes. An event is reported when
+ * its empty line has arrived, so never one that a broken stream has cut short.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -40,7 +40,7 @@
 	size_t name_bytes;
 
 	if (colon == NULL || colon == line)
-		return 0; /* a comment, or a field without value */
+		return 0; /* a comment, or a field without a value */
 	name_bytes = (size_t)(colon - line);
 	value = colon[1] == ' ' ? colon + 2 : colon + 1;
 	parser->has_field = true;
@@ -112,7 +112,7 @@
 	return 0;
 }
 
-/* An event ends with an empty line; its id, if it has one, is noted. */
+/* An event ends with an empty line. */
 size_t
 kwb_sse_whole_bytes(const struct kwb_buf *bytes, uint64_t *last_id)
 {
--- a/src/net/message.c
+++ b/src/net/message.c
@@ -1,5 +1,6 @@
 /*
- * One HTTP/1.1 message: start line, headers and body in two buffers.
+ * One HTTP/1.1 message. One buffer holds the target and the headers, another
+ * one the body.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -68,17 +69,18 @@
 static struct kwb_header *
 message_new_header(struct kwb_message *message)
 {
-	uint32_t room = message->headers_capacity
+	uint32_t capacity = message->headers_capacity
 	    ? message->headers_capacity * 2
 	    : HEADERS_INITIAL_CAPACITY;
 	struct kwb_header *headers;
 
 	if (message->headers_count == message->headers_capacity) {
-		headers = realloc(message->headers, room * sizeof(*headers));
+		headers =
+		    realloc(message->headers, capacity * sizeof(*headers));
 		if (headers == NULL)
 			return NULL;
 		message->headers = headers;
-		message->headers_capacity = room;
+		message->headers_capacity = capacity;
 	}
 	return &message->headers[message->headers_count++];
 }
@@ -101,7 +103,7 @@
 int
 kwb_message_copy(struct kwb_message *to, const struct kwb_message *from)
 {
-	size_t size_bytes = from->headers_count * sizeof(*from->headers);
+	size_t headers_bytes = from->headers_count * sizeof(*from->headers);
 
 	memcpy(to->method, from->method, sizeof(to->method));
 	to->status = from->status;
@@ -111,12 +113,12 @@
 		0 ||
 	    kwb_buf_add(&to->body, from->body.data, from->body.used_bytes) != 0)
 		return KWB_ERR_MEMORY;
-	if (size_bytes == 0)
+	if (headers_bytes == 0)
 		return 0;
-	to->headers = malloc(size_bytes);
+	to->headers = malloc(headers_bytes);
 	if (to->headers == NULL)
 		return KWB_ERR_MEMORY;
-	memcpy(to->headers, from->headers, size_bytes);
+	memcpy(to->headers, from->headers, headers_bytes);
 	to->headers_count = from->headers_count;
 	to->headers_capacity = from->headers_count;
 	return 0;
--- a/src/net/socket.c
+++ b/src/net/socket.c
@@ -1,6 +1,5 @@
 /*
- * Sockets as all connections of a node use them: listening, connecting, and no
- * delay for small writes.
+ * TCP sockets of a node: listening, connecting, and TCP_NODELAY.
  */
 #include <arpa/inet.h>
 #include <event2/bufferevent.h>
@@ -11,7 +10,7 @@
 
 #include "kwb_node.h"
 
-#define LISTEN_BACKLOG 1024
+#define LISTEN_BACKLOG 1024 /* connections not accepted yet */
 
 static int
 address_to_sockaddr(const struct kwb_address *address, struct sockaddr_in *to)
@@ -39,14 +38,15 @@
 	struct sockaddr *from, int from_bytes, void *context),
     void *context, struct evconnlistener **listener)
 {
-	struct sockaddr_in at;
-	int code = address_to_sockaddr(address, &at);
+	struct sockaddr_in bind_address;
+	int code = address_to_sockaddr(address, &bind_address);
 
 	if (code != 0)
 		return code;
 	*listener = evconnlistener_new_bind(base, on_accept, context,
 	    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-	    LISTEN_BACKLOG, (struct sockaddr *)&at, sizeof(at));
+	    LISTEN_BACKLOG, (struct sockaddr *)&bind_address,
+	    sizeof(bind_address));
 	if (*listener != NULL)
 		return 0;
 	kwb_log(KWB_LOG_ERROR, "socket", "event=listen_failed address=%s:%u",
