--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -120,8 +120,8 @@
 
 struct kwb_conn {
 	const struct kwb_conn_ops *ops;
-	void *context; /* of the owner */
-	struct bufferevent *bev;
+	void *context;		 /* of the owner */
+	struct bufferevent *bev; /* the socket, with buffers */
 	struct http_parser parser;
 	struct kwb_message message;	     /* the one being read */
 	uint32_t head_bytes;		     /* of target and headers so far */
@@ -289,7 +289,7 @@
 
 /* A hash table with open addressing and linear probing. */
 struct kwb_index_slot {
-	const char *name; /* NULL: never used */
+	const char *name; /* NULL: never used; a mark if removed */
 	void *value;
 };
 
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -196,7 +196,7 @@
 	kwb_timer_arm(exchange->timer, next_ns < check_ns ? next_ns : check_ns);
 }
 
-/* Ends the exchange at its deadline; arms again if bytes have moved that. */
+/* Ends the exchange at its deadline, or arms again if that has moved. */
 static void
 exchange_on_timer(int fd, short what, void *context)
 {
@@ -279,7 +279,7 @@
 	if (exchange->max_silence_ns != 0)
 		exchange->silence_deadline_ns =
 		    kwb_clock_now_ns() + exchange->max_silence_ns;
-	exchange_arm_timer(exchange); /* never ends here, even when overdue */
+	exchange_arm_timer(exchange); /* on_done comes later, even if overdue */
 	return 0;
 }
 
