--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -45,8 +45,8 @@
 #define KWB_IDLE_DEFAULT_MS 2000
 #define KWB_IDLE_MARGIN_MS 700 /* closed this long before the server would */
 #define KWB_IDLE_CONNS_MAX 512 /* idle connections of a node */
-#define KWB_IDLE_SWEEP_NS                                                      \
-	(500 * KWB_MS_NS) /* between checks for expired ones */
+/* Between checks for connections that were idle for too long. */
+#define KWB_IDLE_SWEEP_NS (500 * KWB_MS_NS)
 /* Body of one answer; an object of the store is smaller. */
 #define KWB_ANSWER_MAX_BYTES (9u << 20)
 /* Bodies of all answers being read; a node has 160 MB of memory. */
