--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -34,7 +34,7 @@
 	struct kwb_batch *batch;
 	const struct kwb_batch_item *item;
 	struct kwb_exchange exchange;  /* with the upstream */
-	struct kwb_events events;      /* decoder of the stream */
+	struct kwb_sse_parser events;  /* decoder of the stream */
 	struct kwb_upstream *upstream; /* while running, else NULL */
 	struct kwb_buf text; /* data of all events, joined by line feeds */
 	uint64_t last_event; /* number of events in the text */
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -32,7 +32,7 @@
 		return;
 	}
 	end->reading = true;
-	kwb_timer_at(end->timer, now_ns + KWB_BATCH_RETRY_NS);
+	kwb_timer_arm(end->timer, now_ns + KWB_BATCH_RETRY_NS);
 }
 
 static void
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -134,7 +134,7 @@
 	}
 	if (!batches->dispatch_armed && !TAILQ_EMPTY(&batches->running)) {
 		batches->dispatch_armed = true;
-		kwb_timer_at(batches->dispatch_timer,
+		kwb_timer_arm(batches->dispatch_timer,
 		    kwb_clock_now_ns() +
 			(has_waiting ? KWB_DISPATCH_NS : KWB_MOVE_CHECK_NS));
 	}
@@ -144,7 +144,7 @@
 kwb_batches_dispatch(struct kwb_batches *batches)
 {
 	batches->dispatch_armed = true;
-	kwb_timer_at(batches->dispatch_timer, 0);
+	kwb_timer_arm(batches->dispatch_timer, 0);
 }
 
 void
--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -350,7 +350,7 @@
 owner_check_soon(struct kwb_batches *batches)
 {
 	/* On the loop's next turn: callers may be using a batch. */
-	kwb_timer_at(batches->owner_timer, 0);
+	kwb_timer_arm(batches->owner_timer, 0);
 }
 
 void
@@ -433,7 +433,7 @@
 		    batches->env->store, &range, &batches->heartbeats_read);
 	}
 	sweep_start_next(batches);
-	kwb_timer_at(batches->owner_timer, next_ns);
+	kwb_timer_arm(batches->owner_timer, next_ns);
 }
 
 int
@@ -443,7 +443,7 @@
 	    kwb_timer_new(batches->env->base, on_owner_timer, batches);
 	if (batches->owner_timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(
+	kwb_timer_arm(
 	    batches->owner_timer, kwb_clock_now_ns() + KWB_OWNER_CHECK_NS);
 	return 0;
 }
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -149,7 +149,7 @@
 attempt_answered(struct kwb_forward_attempt *attempt)
 {
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_message *message = kwb_exchange_message(&attempt->exchange);
+	struct kwb_message *message = kwb_exchange_answer(&attempt->exchange);
 	struct kwb_upstream *upstream = attempt->upstream;
 	struct kwb_upstream_answer answer;
 
@@ -177,7 +177,7 @@
 		attempt_failed(attempt, false, "upstream_error");
 		return;
 	}
-	if (forward->head_sent && !attempt->exchange.streaming) {
+	if (forward->head_sent && !attempt->exchange.is_streaming) {
 		attempt_failed(attempt, false, "not_resumed");
 		return;
 	}
@@ -218,7 +218,7 @@
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_message *message = kwb_exchange_message(exchange);
+	struct kwb_message *message = kwb_exchange_answer(exchange);
 	struct kwb_upstream_answer answer;
 
 	if (forward->on_data == NULL)
@@ -228,7 +228,7 @@
 	    !is_answer_to_request(forward, &answer))
 		return;
 	kwb_upstream_record_success(attempt->upstream);
-	exchange->streaming = true;
+	exchange->is_streaming = true;
 	if (forward->head_sent)
 		return; /* goes on under the head of the first upstream */
 	forward->head_sent = true;
@@ -244,7 +244,7 @@
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
-	struct kwb_buf *body = &kwb_exchange_message(exchange)->body;
+	struct kwb_buf *body = &kwb_exchange_answer(exchange)->body;
 	struct kwb_buf events = {0};
 	size_t length;
 
@@ -253,7 +253,7 @@
 		return;
 	}
 	if (forward->partial_event.used_bytes + body->used_bytes >
-	    KWB_EVENT_MAX_BYTES) {
+	    KWB_SSE_EVENT_MAX_BYTES) {
 		forward_end(forward, KWB_FORWARD_UNKNOWN, "event_too_long");
 		return;
 	}
@@ -264,7 +264,7 @@
 	}
 	body->used_bytes = 0;
 	length =
-	    kwb_events_whole(&forward->partial_event, &forward->last_event);
+	    kwb_sse_whole_bytes(&forward->partial_event, &forward->last_event);
 	if (length == 0)
 		return;
 	forward->request.resume_after = forward->last_event;
@@ -293,10 +293,10 @@
 	attempt->exchange.context = attempt;
 	attempt->exchange.deadline_ns =
 	    forward->deadline_ns + KWB_FORWARD_MARGIN_NS;
-	attempt->exchange.fresh = !forward->idempotent;
+	attempt->exchange.wants_new_conn = !forward->idempotent;
 	if (forward->resumes)
-		attempt->exchange.silence_ns = KWB_STREAM_IDLE_NS;
-	attempt->exchange.no_body =
+		attempt->exchange.max_silence_ns = KWB_STREAM_IDLE_NS;
+	attempt->exchange.has_no_body =
 	    strcmp(forward->request.method, "HEAD") == 0;
 	attempt->started_ns = kwb_clock_now_ns();
 	attempt->upstream = upstream;
@@ -353,7 +353,7 @@
 		next_ns = forward->retry_ns;
 	if (forward->hedge_ns != 0 && forward->hedge_ns < next_ns)
 		next_ns = forward->hedge_ns;
-	kwb_timer_at(forward->timer, next_ns);
+	kwb_timer_arm(forward->timer, next_ns);
 }
 
 /* Whether no upstream of the service takes requests. */
--- a/src/net/socket.c
+++ b/src/net/socket.c
@@ -1,6 +1,5 @@
 /*
- * Sockets as all connections of a node use them: listening, connecting, and no
- * delay for small writes.
+ * TCP sockets of a node: listening, connecting, and TCP_NODELAY.
  */
 #include <arpa/inet.h>
 #include <event2/bufferevent.h>
@@ -11,10 +10,10 @@
 
 #include "kwb_node.h"
 
-#define LISTEN_BACKLOG 1024
+#define LISTEN_BACKLOG 1024 /* connections not accepted yet */
 
 static int
-address_to(const struct kwb_address *address, struct sockaddr_in *to)
+address_to_sockaddr(const struct kwb_address *address, struct sockaddr_in *to)
 {
 	*to = (struct sockaddr_in){
 	    .sin_family = AF_INET, .sin_port = htons(address->port)};
@@ -24,7 +23,7 @@
 }
 
 void
-kwb_socket_no_delay(int fd)
+kwb_socket_set_no_delay(int fd)
 {
 	int on = 1;
 
@@ -39,14 +38,15 @@
 	struct sockaddr *from, int from_bytes, void *context),
     void *context, struct evconnlistener **listener)
 {
-	struct sockaddr_in at;
-	int code = address_to(address, &at);
+	struct sockaddr_in bind_address;
+	int code = address_to_sockaddr(address, &bind_address);
 
 	if (code != 0)
 		return code;
 	*listener = evconnlistener_new_bind(base, on_accept, context,
 	    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-	    LISTEN_BACKLOG, (struct sockaddr *)&at, sizeof(at));
+	    LISTEN_BACKLOG, (struct sockaddr *)&bind_address,
+	    sizeof(bind_address));
 	if (*listener != NULL)
 		return 0;
 	kwb_log(KWB_LOG_ERROR, "socket", "event=listen_failed address=%s:%u",
@@ -59,13 +59,13 @@
     struct bufferevent *socket, const struct kwb_address *address)
 {
 	struct sockaddr_in to;
-	int code = address_to(address, &to);
+	int code = address_to_sockaddr(address, &to);
 
 	if (code != 0)
 		return code;
 	if (bufferevent_socket_connect(
 		socket, (struct sockaddr *)&to, sizeof(to)) != 0)
 		return KWB_ERR_NET_CONNECT;
-	kwb_socket_no_delay(bufferevent_getfd(socket));
+	kwb_socket_set_no_delay(bufferevent_getfd(socket));
 	return 0;
 }
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -143,7 +143,7 @@
 	updater->versions[i].version = version;
 	kwb_log(KWB_LOG_INFO, "mover", "event=named model=%s version=%llu",
 	    model, (unsigned long long)version);
-	kwb_timer_at(updater->timer, 0);
+	kwb_timer_arm(updater->timer, 0);
 }
 
 /* ---- Assignment of models to upstreams --------------------------------------
@@ -359,7 +359,8 @@
 	if (updater->check_armed)
 		return;
 	updater->check_armed = true;
-	kwb_timer_at(updater->timer, kwb_clock_now_ns() + KWB_UPDATER_DELAY_NS);
+	kwb_timer_arm(
+	    updater->timer, kwb_clock_now_ns() + KWB_UPDATER_DELAY_NS);
 }
 
 static void
@@ -374,7 +375,7 @@
 	(void)fd;
 	(void)what;
 	updater->check_armed = false;
-	kwb_timer_at(updater->timer, now_ns + KWB_UPDATER_PERIOD_NS);
+	kwb_timer_arm(updater->timer, now_ns + KWB_UPDATER_PERIOD_NS);
 	if (config == NULL || !updater->rows.synced ||
 	    kwb_store_lease_fence(&updater->lease) == 0)
 		return;
@@ -403,7 +404,7 @@
 		replica->load_pending = false;
 	}
 	updater->assign_ns = 0;
-	kwb_timer_at(updater->timer, 0);
+	kwb_timer_arm(updater->timer, 0);
 }
 
 int
@@ -419,7 +420,7 @@
 	updater->timer = kwb_timer_new(env->base, updater_tick, updater);
 	if (updater->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(
+	kwb_timer_arm(
 	    updater->timer, kwb_clock_now_ns() + KWB_UPDATER_PERIOD_NS);
 	code = kwb_follower_init(&updater->rows, env->base, env->store,
 	    ASSIGNMENTS_TABLE, assignment_row, NULL, updater);
