--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -241,20 +241,20 @@
 static void
 hand_over_step(struct kwb_batch *batch)
 {
-	static struct chunk_writes writes;
+	static struct chunk_writes pieces;
 	struct item_run *run;
 
-	memset(&writes, 0, sizeof(writes));
+	memset(&pieces, 0, sizeof(pieces));
 	while (batch->hand_over_next < batch->spec.items_count &&
-	    writes.count < CHUNKS_MAX && writes.bytes < KWB_TX_MAX_BYTES) {
+	    pieces.count < CHUNKS_MAX && pieces.bytes < KWB_TX_MAX_BYTES) {
 		run = &batch->runs[batch->hand_over_next++];
 		if (run->last_event > run->saved_chunk.last_event &&
 		    run->state != ITEM_LISTED)
-			chunk_add(&writes, run);
+			chunk_add(&pieces, run);
 	}
 	batch->call.context = batch;
 	batch->call.on_done = hand_over_answer;
-	if (!chunks_send(&writes, batch, &batch->call))
+	if (!chunks_send(&pieces, batch, &batch->call))
 		release_batch(batch);
 }
 
@@ -305,7 +305,7 @@
 void
 batch_checkpoint(struct kwb_batch *batch)
 {
-	static struct chunk_writes writes;
+	static struct chunk_writes pieces;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
 
@@ -314,17 +314,17 @@
 	    now_ns - batch->checkpoint_started_ns < KWB_CHECKPOINT_NS)
 		return;
 	batch->checkpoint_started_ns = now_ns;
-	memset(&writes, 0, sizeof(writes));
-	for (i = 0; i < batch->spec.items_count && writes.count < CHUNKS_MAX &&
-	     writes.bytes < KWB_TX_MAX_BYTES;
+	memset(&pieces, 0, sizeof(pieces));
+	for (i = 0; i < batch->spec.items_count && pieces.count < CHUNKS_MAX &&
+	     pieces.bytes < KWB_TX_MAX_BYTES;
 	     i++)
 		if (is_checkpoint_due(&batch->runs[i]))
-			chunk_add(&writes, &batch->runs[i]);
-	if (writes.count == 0)
+			chunk_add(&pieces, &batch->runs[i]);
+	if (pieces.count == 0)
 		return;
 	batch->checkpoint_call.context = batch;
 	batch->checkpoint_call.on_done = checkpoint_answer;
-	if (!chunks_send(&writes, batch, &batch->checkpoint_call)) {
+	if (!chunks_send(&pieces, batch, &batch->checkpoint_call)) {
 		chunks_mark_sent(batch, false);
 		kwb_log(KWB_LOG_INFO, "batch",
 		    "event=checkpoint_lost batch=%s error=not_sent",
