--- a/src/batch/accept.c
+++ b/src/batch/accept.c
@@ -53,7 +53,7 @@
 }
 
 static void
-record_answer(
+record_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_accept *accept = call->context;
@@ -76,7 +76,7 @@
 }
 
 static void
-read_back_answer(
+read_back_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_accept *accept = call->context;
@@ -104,14 +104,14 @@
 	    .to = to};
 
 	snprintf(to, sizeof(to), "%s\x01", accept->record.id);
-	accept->call.on_done = read_back_answer;
+	accept->call.on_done = read_back_on_answer;
 	if (store->ops->range(store, &range, &accept->call) != 0)
 		accept_complete(
 		    accept, KWB_ACCEPT_UNKNOWN, "store_unreachable");
 }
 
 static void
-submission_answer(
+submission_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	static struct kwb_tx tx;
@@ -129,7 +129,7 @@
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
 	record_add_to_tx(&accept->record, &tx, &value);
-	accept->call.on_done = record_answer;
+	accept->call.on_done = record_on_answer;
 	code = store->ops->transact(store, &tx, &accept->call);
 	kwb_buf_finish(&value);
 	if (code != 0)
@@ -204,7 +204,7 @@
 		return;
 	}
 	batch_object_name(name, sizeof(name), accept->record.id);
-	accept->call.on_done = submission_answer;
+	accept->call.on_done = submission_on_answer;
 	code = store->ops->object_put(
 	    store, name, accept->body, accept->body_bytes, &accept->call);
 	if (code != 0)
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -36,7 +36,8 @@
 }
 
 static void
-write_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+write_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_end *end = call->context;
 
@@ -52,7 +53,8 @@
 }
 
 static void
-read_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+read_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_end *end = call->context;
 
@@ -87,7 +89,7 @@
 	int code;
 
 	snprintf(to, sizeof(to), "%s\x01", end->record.id);
-	end->call.on_done = read_answer;
+	end->call.on_done = read_on_answer;
 	code = store->ops->range(store, &range, &end->call);
 	if (code != 0)
 		end_retry(end, code);
@@ -105,7 +107,7 @@
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
 	record_add_to_tx(&end->record, &tx, &value);
-	end->call.on_done = write_answer;
+	end->call.on_done = write_on_answer;
 	code = store->ops->transact(store, &tx, &end->call);
 	kwb_buf_finish(&value);
 	if (code != 0)
@@ -113,7 +115,7 @@
 }
 
 static void
-on_end_timer(int fd, short what, void *context)
+end_on_timer(int fd, short what, void *context)
 {
 	(void)fd;
 	(void)what;
@@ -128,7 +130,7 @@
 	    kwb_batches_find_record(end->batches, end->record.id);
 
 	end->call.context = end;
-	end->timer = kwb_timer_new(env->base, on_end_timer, end);
+	end->timer = kwb_timer_new(env->base, end_on_timer, end);
 	if (end->timer == NULL) {
 		end_done(end, KWB_ERR_MEMORY);
 		return;
--- a/src/batch/heads.c
+++ b/src/batch/heads.c
@@ -78,7 +78,7 @@
 }
 
 static void
-on_record_row(void *context, const struct kwb_row *row)
+record_on_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_batches *batches = context;
 	struct kwb_batch_record record;
@@ -105,7 +105,7 @@
 }
 
 static void
-on_dispatch_timer(int fd, short what, void *context)
+dispatch_on_timer(int fd, short what, void *context)
 {
 	struct kwb_batches *batches = context;
 	struct kwb_batch *batch;
@@ -164,14 +164,14 @@
 	TAILQ_INIT(&batches->running);
 	TAILQ_INIT(&batches->reads);
 	batches->dispatch_timer =
-	    kwb_timer_new(env->base, on_dispatch_timer, batches);
+	    kwb_timer_new(env->base, dispatch_on_timer, batches);
 	if (batches->dispatch_timer == NULL)
 		return KWB_ERR_MEMORY;
 	code = owner_init(batches);
 	if (code != 0)
 		return code;
 	return kwb_follower_init(&batches->follower, env->base, env->store,
-	    TABLE_RECORDS, on_record_row, NULL, batches);
+	    TABLE_RECORDS, record_on_row, NULL, batches);
 }
 
 void
--- a/src/batch/list.c
+++ b/src/batch/list.c
@@ -23,7 +23,7 @@
 	size_t bytes; /* of the results */
 };
 
-static void list_answer(
+static void list_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer);
 
 static int
@@ -52,7 +52,7 @@
 }
 
 static void
-result_object_answer(
+result_object_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -81,7 +81,7 @@
 	result_object_name(run, name);
 	batch->result_object_run = run;
 	batch->result_object_call.context = batch;
-	batch->result_object_call.on_done = result_object_answer;
+	batch->result_object_call.on_done = result_object_on_answer;
 	if (store->ops->object_put(store, name, value->data, value->used_bytes,
 		&batch->result_object_call) != 0)
 		kwb_log(KWB_LOG_WARN, "batch",
@@ -177,7 +177,7 @@
 		return;
 	batch->listing = true;
 	batch->call.context = batch;
-	batch->call.on_done = list_answer;
+	batch->call.on_done = list_on_answer;
 	code = store->ops->transact(store, &listing.tx, &batch->call);
 	for (i = 0; i < listing.count; i++)
 		kwb_buf_finish(&listing.values[i]);
@@ -199,7 +199,8 @@
 }
 
 static void
-list_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+list_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
 	uint32_t i;
@@ -227,7 +228,7 @@
 }
 
 static void
-reconcile_answer(
+reconcile_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -264,7 +265,7 @@
 	batch->load_retry_ns = 0;
 	batch->in_doubt = true;
 	batch->call.context = batch;
-	batch->call.on_done = reconcile_answer;
+	batch->call.on_done = reconcile_on_answer;
 	if (store->ops->range(store, &range, &batch->call) != 0)
 		batch->load_retry_ns = kwb_clock_now_ns() + KWB_BATCH_RETRY_NS;
 }
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -161,7 +161,7 @@
 }
 
 static void
-chunks_answer(
+chunks_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -226,7 +226,7 @@
 }
 
 static void
-done_rows_answer(
+done_rows_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -240,7 +240,7 @@
 	batch_mark_listed(batch, answer);
 	if (batch_read_more(batch, TABLE_DONE, answer))
 		return;
-	call->on_done = chunks_answer;
+	call->on_done = chunks_on_answer;
 	load_range(batch, &range);
 }
 
@@ -267,7 +267,7 @@
 }
 
 static void
-submission_answer(
+submission_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -292,7 +292,7 @@
 		kwb_batches_dispatch(batch->batches);
 		return;
 	}
-	call->on_done = done_rows_answer;
+	call->on_done = done_rows_on_answer;
 	load_range(batch, &range);
 }
 
@@ -308,12 +308,12 @@
 	batch->load_retry_ns = 0;
 	batch->call.context = batch;
 	if (batch->runs != NULL) {
-		batch->call.on_done = done_rows_answer;
+		batch->call.on_done = done_rows_on_answer;
 		load_range(batch, &range);
 		return;
 	}
 	batch_object_name(name, sizeof(name), batch->record.id);
-	batch->call.on_done = submission_answer;
+	batch->call.on_done = submission_on_answer;
 	code = store->ops->object_get(store, name, &batch->call);
 	if (code != 0)
 		load_failed(batch, code);
--- a/src/batch/own.c
+++ b/src/batch/own.c
@@ -132,7 +132,7 @@
 }
 
 static void
-remove_answer(
+removal_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	(void)call;
@@ -156,14 +156,14 @@
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_expect(&tx, TABLE_NODES, "", row->key, row->revision);
 	kwb_tx_remove(&tx, TABLE_NODES, "", row->key);
-	batches->heartbeat_remove.on_done = remove_answer;
+	batches->heartbeat_remove.on_done = removal_on_answer;
 	batches->heartbeat_remove.context = batches;
 	if (store->ops->transact(store, &tx, &batches->heartbeat_remove) != 0)
 		kwb_log(KWB_LOG_WARN, "own", "event=node_not_forgotten");
 }
 
 static void
-heartbeats_answer(
+heartbeats_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batches *batches = call->context;
@@ -194,7 +194,7 @@
 }
 
 static void
-heartbeat_answer(
+heartbeat_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batches *batches = call->context;
@@ -218,14 +218,15 @@
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_put(&tx, TABLE_NODES, "", batches->env->settings->node, value,
 	    (size_t)length);
-	batches->heartbeat.on_done = heartbeat_answer;
+	batches->heartbeat.on_done = heartbeat_on_answer;
 	batches->heartbeat.context = batches;
 	if (store->ops->transact(store, &tx, &batches->heartbeat) == 0)
 		batches->heartbeat_ns = kwb_clock_now_ns();
 }
 
 static void
-claim_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+claim_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct claim *claim = call->context;
 
@@ -275,7 +276,7 @@
 	claim->record.owner_incarnation =
 	    release ? 0 : batches->env->incarnation;
 	claim->record.fresh = release && record->fresh;
-	claim->call.on_done = claim_answer;
+	claim->call.on_done = claim_on_answer;
 	claim->call.context = claim;
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
@@ -375,7 +376,7 @@
 }
 
 static void
-on_owner_timer(int fd, short what, void *context)
+owner_on_timer(int fd, short what, void *context)
 {
 	struct kwb_batches *batches = context;
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -427,7 +428,7 @@
 	    batches->heartbeats_read.pending == NULL) {
 		struct kwb_range range = {.table = TABLE_NODES, .part = ""};
 
-		batches->heartbeats_read.on_done = heartbeats_answer;
+		batches->heartbeats_read.on_done = heartbeats_on_answer;
 		batches->heartbeats_read.context = batches;
 		batches->env->store->ops->range(
 		    batches->env->store, &range, &batches->heartbeats_read);
@@ -440,7 +441,7 @@
 owner_init(struct kwb_batches *batches)
 {
 	batches->owner_timer =
-	    kwb_timer_new(batches->env->base, on_owner_timer, batches);
+	    kwb_timer_new(batches->env->base, owner_on_timer, batches);
 	if (batches->owner_timer == NULL)
 		return KWB_ERR_MEMORY;
 	kwb_timer_at(
--- a/src/batch/partial.c
+++ b/src/batch/partial.c
@@ -192,7 +192,7 @@
 /* ---- Handing over -------------------------------------------------------- */
 
 static void
-hand_over_answer(
+hand_over_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -205,7 +205,7 @@
 }
 
 static void
-released_answer(
+release_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -231,7 +231,7 @@
 	kwb_buf_init(&value);
 	memset(&tx, 0, sizeof(tx));
 	record_add_to_tx(&record, &tx, &value);
-	batch->call.on_done = released_answer;
+	batch->call.on_done = release_on_answer;
 	if (store->ops->transact(store, &tx, &batch->call) != 0)
 		batch->closing = true;
 	kwb_buf_finish(&value);
@@ -253,7 +253,7 @@
 			chunk_add(&pieces, run);
 	}
 	batch->call.context = batch;
-	batch->call.on_done = hand_over_answer;
+	batch->call.on_done = hand_over_on_answer;
 	if (!chunks_send(&pieces, batch, &batch->call))
 		release_batch(batch);
 }
@@ -280,7 +280,7 @@
 /* ---- Periodic checkpoints ------------------------------------------------ */
 
 static void
-checkpoint_answer(
+checkpoint_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch *batch = call->context;
@@ -323,7 +323,7 @@
 	if (pieces.count == 0)
 		return;
 	batch->checkpoint_call.context = batch;
-	batch->checkpoint_call.on_done = checkpoint_answer;
+	batch->checkpoint_call.on_done = checkpoint_on_answer;
 	if (!chunks_send(&pieces, batch, &batch->checkpoint_call)) {
 		chunks_mark_sent(batch, false);
 		kwb_log(KWB_LOG_INFO, "batch",
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -41,7 +41,7 @@
 }
 
 static void
-result_object_answer(
+result_object_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_read *read = call->context;
@@ -67,7 +67,7 @@
 	struct kwb_store *store = read->batches->env->store;
 	int code;
 
-	read->call.on_done = result_object_answer;
+	read->call.on_done = result_object_on_answer;
 	code = store->ops->object_get(store, name, &read->call);
 	if (code != 0)
 		read_retry(read, code);
@@ -113,7 +113,7 @@
 }
 
 static void
-results_answer(
+results_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_read *read = call->context;
@@ -146,14 +146,14 @@
 		read->in_list = true;
 	}
 	snprintf(from, sizeof(from), "%0*u", POSITION_DIGITS, read->after);
-	read->call.on_done = results_answer;
+	read->call.on_done = results_on_answer;
 	code = store->ops->range(store, &range, &read->call);
 	if (code != 0)
 		read_retry(read, code);
 }
 
 static void
-record_answer(
+record_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_read *read = call->context;
@@ -195,7 +195,7 @@
 	int code;
 
 	snprintf(to, sizeof(to), "%s\x01", read->batch);
-	read->call.on_done = record_answer;
+	read->call.on_done = record_on_answer;
 	code = store->ops->range(store, &range, &read->call);
 	if (code != 0)
 		read_retry(read, code);
@@ -214,7 +214,7 @@
 }
 
 static void
-submission_answer(
+submission_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batch_read *read = call->context;
@@ -250,7 +250,7 @@
 		return;
 	}
 	batch_object_name(name, sizeof(name), read->batch);
-	read->call.on_done = submission_answer;
+	read->call.on_done = submission_on_answer;
 	code = store->ops->object_get(store, name, &read->call);
 	if (code != 0)
 		read_retry(read, code);
@@ -268,7 +268,7 @@
 }
 
 static void
-on_read_timer(int fd, short what, void *context)
+read_on_timer(int fd, short what, void *context)
 {
 	(void)fd;
 	(void)what;
@@ -283,7 +283,7 @@
 	    kwb_batches_find_record(read->batches, read->batch);
 
 	read->call.context = read;
-	read->timer = kwb_timer_new(env->base, on_read_timer, read);
+	read->timer = kwb_timer_new(env->base, read_on_timer, read);
 	if (read->timer == NULL) {
 		read_done(read, KWB_ERR_MEMORY);
 		return;
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -122,7 +122,7 @@
 
 /* Appends an event to the text; those that it has already are ignored. */
 static void
-on_event(void *context, const struct kwb_event *event)
+run_on_event(void *context, const struct kwb_event *event)
 {
 	struct item_run *run = context;
 	uint64_t now_ns = kwb_clock_now_ns();
@@ -191,7 +191,7 @@
 	const struct kwb_route_entry *route;
 
 	if (kwb_events_feed(&run->events, &kwb_exchange_message(exchange)->body,
-		on_event, run) != 0)
+		run_on_event, run) != 0)
 		run->stream_broken = true;
 	if (run->version < run->batch->spec.min_version) {
 		run_retry(run, 0, "weights_too_old");
--- a/src/batch/sweep.c
+++ b/src/batch/sweep.c
@@ -22,7 +22,7 @@
 }
 
 static void
-removed_answer(
+removal_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_batches *batches = call->context;
@@ -48,14 +48,15 @@
 
 	kwb_text_copy(batches->sweep_dropped_object,
 	    sizeof(batches->sweep_dropped_object), name);
-	batches->sweep.on_done = removed_answer;
+	batches->sweep.on_done = removal_on_answer;
 	if (store->ops->object_drop(store, name, &batches->sweep) != 0)
 		sweep_complete(batches, KWB_ERR_STORE_REFUSED);
 }
 
 /* Removes the rows that were read; without rows, begins the next step. */
 static void
-rows_answer(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+rows_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	static struct kwb_tx tx;
 	struct kwb_batches *batches = call->context;
@@ -87,7 +88,7 @@
 		if (name != NULL)
 			break; /* its object is removed, now its row */
 	}
-	call->on_done = removed_answer;
+	call->on_done = removal_on_answer;
 	if (store->ops->transact(store, &tx, call) != 0)
 		sweep_complete(batches, KWB_ERR_STORE_REFUSED);
 }
@@ -99,7 +100,7 @@
 	    .part = batches->sweep_record.id,
 	    .limit = SWEEP_ROWS};
 
-	batches->sweep.on_done = rows_answer;
+	batches->sweep.on_done = rows_on_answer;
 	return batches->env->store->ops->range(
 	    batches->env->store, &range, &batches->sweep);
 }
@@ -126,7 +127,7 @@
 		sweep_step(batches);
 		return 0;
 	}
-	batches->sweep.on_done = removed_answer;
+	batches->sweep.on_done = removal_on_answer;
 	return batches->env->store->ops->transact(
 	    batches->env->store, &tx, &batches->sweep);
 }
@@ -137,7 +138,7 @@
 	char name[KWB_KEY_MAX_BYTES + 8];
 
 	batch_object_name(name, sizeof(name), batches->sweep_record.id);
-	batches->sweep.on_done = removed_answer;
+	batches->sweep.on_done = removal_on_answer;
 	return batches->env->store->ops->object_drop(
 	    batches->env->store, name, &batches->sweep);
 }
@@ -151,7 +152,7 @@
 	memset(&tx, 0, sizeof(tx));
 	kwb_tx_expect(&tx, TABLE_RECORDS, "", record->id, record->revision);
 	kwb_tx_remove(&tx, TABLE_RECORDS, "", record->id);
-	batches->sweep.on_done = removed_answer;
+	batches->sweep.on_done = removal_on_answer;
 	return batches->env->store->ops->transact(
 	    batches->env->store, &tx, &batches->sweep);
 }
