--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -344,7 +344,7 @@
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
-			kwb_home_select(
+			kwb_holders_select(
 			    &vms, "llm", "quotes", 256, chosen, KWB_PEERS_MAX);
 		line_add(&home, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -529,10 +529,11 @@
     unsigned chosen_max);
 
 /*
- * Chooses the home agents of a plan: those of its pool that hold its allowance.
- * Writes indices into vms->vms and returns their number.
+ * Chooses the holders of a plan: up to wanted agents of its pool, which should
+ * hold the units of its allowance; kwb_share_holders() says how many. Writes at
+ * most chosen_max indices into vms->vms and returns their number.
  */
-unsigned kwb_home_select(const struct kwb_vms *vms, const char *pool,
+unsigned kwb_holders_select(const struct kwb_vms *vms, const char *pool,
     const char *plan, unsigned wanted, uint32_t *chosen, unsigned chosen_max);
 
 struct kwb_lease {
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -90,7 +90,7 @@
 	free(entry);
 }
 
-/* Notes that a plan is asked for here, so that its homes are connected to. */
+/* Notes that a plan is asked for here, so that its holders are connected to. */
 void
 entry_demand(struct kwb_entry *entry, struct plan_gate *gate)
 {
@@ -103,7 +103,7 @@
 
 /*
  * Notes whether the weights of a plan are rolled out from here in a failure
- * domain, so that the plan's homes there are connected to.
+ * domain, so that the plan's holders there are connected to.
  */
 void
 entry_lead(struct kwb_entry *entry, const char *plan,
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -12,12 +12,11 @@
 static bool peer_is_usable(const struct peer *peer, uint64_t now_ns);
 static struct peer *peer_find_or_add(
     struct peers *peers, const struct kwb_vm *vm);
-static unsigned home_agents_in_demand(struct kwb_entry *entry,
+static unsigned holders_in_demand(struct kwb_entry *entry,
     const struct kwb_vms *vms, uint32_t *chosen, unsigned chosen_max);
-static unsigned plan_home_agents(struct kwb_entry *entry,
-    const struct kwb_vms *vms, const struct kwb_plan *plan,
-    const struct kwb_allowance *allowance, uint32_t *chosen,
-    unsigned chosen_max);
+static unsigned plan_holders(struct kwb_entry *entry, const struct kwb_vms *vms,
+    const struct kwb_plan *plan, const struct kwb_allowance *allowance,
+    uint32_t *chosen, unsigned chosen_max);
 static void peer_apply_listing(struct peer *peer, const struct kwb_vms *vms);
 static void peer_fill_candidate(struct kwb_entry *entry, struct peer *peer,
     const char *plan, const char *model, struct kwb_candidate *candidate);
@@ -145,7 +144,7 @@
 	count = kwb_subset_select(vms, entry->settings->vm,
 	    entry->settings->failure_domain, entry->settings->subset, chosen,
 	    KWB_PEERS_MAX);
-	count += home_agents_in_demand(
+	count += holders_in_demand(
 	    entry, vms, chosen + count, 2 * KWB_PEERS_MAX - count);
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
@@ -163,12 +162,12 @@
 }
 
 /*
- * The home agents of the training plans whose samples are pulled through this
+ * The holders of the training plans whose samples are pulled through this
  * entry, and of those whose weights it rolls out, in the failure domains that
  * it leads.
  */
 static unsigned
-home_agents_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
+holders_in_demand(struct kwb_entry *entry, const struct kwb_vms *vms,
     uint32_t *chosen, unsigned chosen_max)
 {
 	const struct kwb_lists *lists = kwb_current_lists_read_lock();
@@ -182,15 +181,15 @@
 
 		if (plan->kind != KWB_PLAN_TRAINING)
 			continue;
-		used += plan_home_agents(entry, vms, plan, allowance,
-		    chosen + used, chosen_max - used);
+		used += plan_holders(entry, vms, plan, allowance, chosen + used,
+		    chosen_max - used);
 	}
 	kwb_current_lists_read_unlock();
 	return used;
 }
 
 static unsigned
-plan_home_agents(struct kwb_entry *entry, const struct kwb_vms *vms,
+plan_holders(struct kwb_entry *entry, const struct kwb_vms *vms,
     const struct kwb_plan *plan, const struct kwb_allowance *allowance,
     uint32_t *chosen, unsigned chosen_max)
 {
@@ -200,7 +199,7 @@
 	    kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_TTL_NS;
 	unsigned i, used = 0, count;
 
-	count = kwb_home_select(vms, plan->pool, plan->name,
+	count = kwb_holders_select(vms, plan->pool, plan->name,
 	    kwb_share_holders(allowance->concurrent, vms->count), chosen,
 	    chosen_max);
 	for (i = 0; i < count; i++)
--- a/src/member/subset.c
+++ b/src/member/subset.c
@@ -2,8 +2,8 @@
  * Which agents an entry connects to, by rendezvous hashing. Its own subset
  * takes, in each pool, one agent of every failure domain, then agents of its
  * own domain, then others, so that the number of connections grows with the
- * subset and not with the fleet. The home agents of a plan, which hold its
- * allowance, are the first ones of its pool by rank.
+ * subset and not with the fleet. The holders of a plan, the agents that should
+ * hold units of its allowance, are the first ones of its pool by rank.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -60,8 +60,8 @@
 }
 
 unsigned
-kwb_home_select(const struct kwb_vms *vms, const char *pool, const char *plan,
-    unsigned wanted, uint32_t *chosen, unsigned chosen_max)
+kwb_holders_select(const struct kwb_vms *vms, const char *pool,
+    const char *plan, unsigned wanted, uint32_t *chosen, unsigned chosen_max)
 {
 	struct scored_agent *agents = calloc(vms->count + 1, sizeof(*agents));
 	unsigned i, count;
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -174,12 +174,12 @@
 }
 
 static void
-test_share_homes(void)
+test_share_holders(void)
 {
 	static const struct {
 		uint32_t allowance;
 		unsigned members;
-		uint32_t homes;
+		uint32_t holders;
 	} cases[] = {
 	    {24, 8, 8},
 	    {64, 9, 9},
@@ -191,7 +191,7 @@
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
 		    kwb_share_holders(cases[i].allowance, cases[i].members),
-		    cases[i].homes);
+		    cases[i].holders);
 }
 
 static void
@@ -333,9 +333,9 @@
 	    kwb_subset_select(&vms, "entry-1", "fd-3", 16, again, 64), 16);
 	CU_ASSERT_EQUAL(memcmp(chosen, again, 16 * sizeof(*chosen)), 0);
 	CU_ASSERT_EQUAL(
-	    kwb_home_select(&vms, "llm", "quotes", 8, chosen, 64), 8);
+	    kwb_holders_select(&vms, "llm", "quotes", 8, chosen, 64), 8);
 	CU_ASSERT_EQUAL(
-	    kwb_home_select(&vms, "shop", "quotes", 8, chosen, 64), 0);
+	    kwb_holders_select(&vms, "shop", "quotes", 8, chosen, 64), 0);
 }
 
 /* Two entries that start at the same moment never make the same key. */
@@ -754,7 +754,7 @@
 	    {"route table", test_route},
 	    {"route affinity", test_route_affinity},
 	    {"share sum", test_share_sum},
-	    {"share homes", test_share_homes},
+	    {"share holders", test_share_holders},
 	    {"retry budget", test_budget},
 	    {"sample freshness", test_fresh},
 	    {"hedge", test_hedge},
