--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -145,8 +145,8 @@
 #define KWB_MOVE_MIN_NS (300 * KWB_MS_NS)   /* at an upstream before a move */
 #define KWB_CHECKPOINT_NS (500 * KWB_MS_NS) /* between writes of texts */
 #define KWB_CHECKPOINT_MIN_EVENTS 20	    /* a second of work */
-#define KWB_CHECKPOINT_EVENTS 8 /* new events that make a text due again */
-#define KWB_SCORE_SPARE_PART 3	/* a third of the slots is left to callers */
+#define KWB_CHECKPOINT_EVENTS 8	  /* new events that make a text due again */
+#define KWB_SCORE_SPARE_DIVISOR 3 /* leaves a third of slots to callers */
 #define KWB_SCORE_WAIT_NS (1000 * KWB_MS_NS)   /* longest wait for room */
 #define KWB_SCORE_URGENT_NS (1500 * KWB_MS_NS) /* before its batch is due */
 #define KWB_SCORE_TIMEOUT_MS 1500	       /* when no route names one */
--- a/src/batch/pump.c
+++ b/src/batch/pump.c
@@ -14,7 +14,7 @@
 {
 	const struct kwb_batch *batch = run->batch;
 	const struct kwb_upstream *current = run->upstream;
-	struct kwb_pick_criteria pick = {
+	struct kwb_pick_criteria criteria = {
 	    .service = service,
 	    .failure_domain = run_env(run)->forward->failure_domain,
 	    .model = batch->spec.model,
@@ -27,9 +27,9 @@
 	    .random = (uint64_t)random(),
 	};
 
-	if (pick.affinity_id[0] == '\0')
-		pick.affinity_id = NULL;
-	return kwb_upstream_pick(run_env(run)->forward->registry, &pick);
+	if (criteria.affinity_id[0] == '\0')
+		criteria.affinity_id = NULL;
+	return kwb_upstream_pick(run_env(run)->forward->registry, &criteria);
 }
 
 static struct kwb_stall_input
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -55,11 +55,11 @@
 {
 	const struct kwb_batch_env *env = run_env(run);
 	uint64_t now_ns = kwb_clock_now_ns();
-	struct kwb_pick_criteria pick = {
+	struct kwb_pick_criteria criteria = {
 	    .service = service,
 	    .failure_domain = env->forward->failure_domain,
 	    .needs_free_slot = true,
-	    .spare_divisor = KWB_SCORE_SPARE_PART,
+	    .spare_divisor = KWB_SCORE_SPARE_DIVISOR,
 	    .now_ns = now_ns,
 	    .random = (uint64_t)random(),
 	};
@@ -68,7 +68,7 @@
 	    .left_ns = time_left_ns(run)};
 
 	input.has_room =
-	    kwb_upstream_pick(env->forward->registry, &pick) != NULL;
+	    kwb_upstream_pick(env->forward->registry, &criteria) != NULL;
 	return !kwb_score_can_start(&input);
 }
 
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -82,10 +82,10 @@
 call_pin_create(struct kwb_entry *entry, const char *plan, const char *pool,
     struct kwb_pin *pin)
 {
-	struct kwb_route_query route = {
+	struct kwb_route_query query = {
 	    .random = entry_random(), .exclude = -1, .priority = true};
 	struct target target;
-	int error = peers_pick(entry, &route, plan, NULL, pin->key, &target);
+	int error = peers_pick(entry, &query, plan, NULL, pin->key, &target);
 
 	(void)pool;
 	if (error != 0)
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -36,7 +36,7 @@
 int
 generation_start(struct kwb_entry *entry, struct generation *generation)
 {
-	struct kwb_route_query route = {
+	struct kwb_route_query query = {
 	    .affinity_key = generation->prompt,
 	    .min_version = generation->min_version,
 	    .random = entry_random(),
@@ -49,11 +49,11 @@
 	/* A key of its own: an agent may still run an earlier start. */
 	kwb_generation_key_print(generation->key, sizeof(generation->key),
 	    &entry->origin, generation->name, generation->starts);
-	error = peers_pick(entry, &route, generation->plan, generation->model,
+	error = peers_pick(entry, &query, generation->plan, generation->model,
 	    generation->key, &generation->target);
-	if (error == KWB_ERR_ROUTE_NONE && route.exclude >= 0) {
-		route.exclude = -1;
-		error = peers_pick(entry, &route, generation->plan,
+	if (error == KWB_ERR_ROUTE_NONE && query.exclude >= 0) {
+		query.exclude = -1;
+		error = peers_pick(entry, &query, generation->plan,
 		    generation->model, generation->key, &generation->target);
 	}
 	return error ? error : generation_send(entry, generation);
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -184,7 +184,7 @@
 /* peers.c */
 void peers_init(struct peers *peers);
 void peers_finish(struct peers *peers);
-int peers_pick(struct kwb_entry *entry, const struct kwb_route_query *route,
+int peers_pick(struct kwb_entry *entry, const struct kwb_route_query *query,
     const char *plan, const char *model, const char *key,
     struct target *target);
 int peers_reserve(struct kwb_entry *entry, const char *vm, const char *plan,
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -40,7 +40,7 @@
 
 /* Routes a request: reserves a slot at the chosen peer and logs why. */
 int
-peers_pick(struct kwb_entry *entry, const struct kwb_route_query *route,
+peers_pick(struct kwb_entry *entry, const struct kwb_route_query *query,
     const char *plan, const char *model, const char *key, struct target *target)
 {
 	struct peers *peers = &entry->peers;
@@ -53,7 +53,7 @@
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		peer_fill_candidate(
 		    entry, &peers->peers[i], plan, model, &candidates[i]);
-	choice = kwb_route_pick(route, candidates, KWB_PEERS_MAX);
+	choice = kwb_route_pick(query, candidates, KWB_PEERS_MAX);
 	if (choice.index >= 0)
 		peer_reserve(&peers->peers[choice.index], choice.index, plan,
 		    model, target);
@@ -67,7 +67,7 @@
 	    plan, key, target->vm, choice.reason,
 	    candidates[choice.index].plan_in_flight,
 	    candidates[choice.index].units, candidates[choice.index].in_flight,
-	    candidates[choice.index].slots, target->version, route->min_version,
+	    candidates[choice.index].slots, target->version, query->min_version,
 	    candidates[choice.index].same_domain);
 	return 0;
 }
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1432,7 +1432,7 @@
 	unsigned i;
 
 	room.needs_free_slot = true;
-	room.spare_divisor = KWB_SCORE_SPARE_PART;
+	room.spare_divisor = KWB_SCORE_SPARE_DIVISOR;
 	input.has_room = kwb_upstream_pick(registry, &room) != NULL;
 	if (!work->is_call && leaves_room && !kwb_score_can_start(&input))
 		return;
