--- a/include/kwb.h
+++ b/include/kwb.h
@@ -683,11 +683,11 @@
 };
 
 /* Writes the key of a plain call; the number is unique in the process. */
-void kwb_call_key_print(char *key, size_t room_bytes,
+void kwb_call_key_print(char *key, size_t capacity_bytes,
     const struct kwb_origin *origin, const char *plan, uint64_t number);
 
 /* Writes the key of a start of a generation, after so many earlier starts. */
-void kwb_generation_key_print(char *key, size_t room_bytes,
+void kwb_generation_key_print(char *key, size_t capacity_bytes,
     const struct kwb_origin *origin, const char *name, unsigned starts);
 
 /* Appends a pin as the ticket text that a caller sends back. */
--- a/src/batch/batch.h
+++ b/src/batch/batch.h
@@ -112,7 +112,7 @@
     const struct kwb_store_answer *answer); /* rows of TABLE_DONE */
 struct kwb_batch *batch_find(
     const struct kwb_batches *batches, const char *id); /* or NULL */
-void batch_object_name(char *name, size_t room_bytes,
+void batch_object_name(char *name, size_t capacity_bytes,
     const char *batch); /* of the object that holds its submission */
 
 /* run.c: an item at an upstream */
--- a/src/batch/head.c
+++ b/src/batch/head.c
@@ -30,11 +30,12 @@
 }
 
 static void
-copy_string(char *to, size_t room_bytes, const json_t *row, const char *name)
+copy_string(
+    char *to, size_t capacity_bytes, const json_t *row, const char *name)
 {
 	const char *text = json_string_value(json_object_get(row, name));
 
-	kwb_text_copy(to, room_bytes, text ? text : "");
+	kwb_text_copy(to, capacity_bytes, text ? text : "");
 }
 
 static uint64_t
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -12,9 +12,9 @@
 static void load_range(struct kwb_batch *batch, struct kwb_range *range);
 
 void
-batch_object_name(char *name, size_t room_bytes, const char *batch)
+batch_object_name(char *name, size_t capacity_bytes, const char *batch)
 {
-	snprintf(name, room_bytes, "batch-%s", batch);
+	snprintf(name, capacity_bytes, "batch-%s", batch);
 }
 
 struct kwb_batch *
--- a/src/call/ticket.c
+++ b/src/call/ticket.c
@@ -33,18 +33,18 @@
 
 /* The VM is part of the key, as two entries may have the same incarnation. */
 void
-kwb_call_key_print(char *key, size_t room_bytes,
+kwb_call_key_print(char *key, size_t capacity_bytes,
     const struct kwb_origin *origin, const char *plan, uint64_t number)
 {
-	snprintf(key, room_bytes, "m/%s/%s/%" PRIx64 "/%" PRIx64, plan,
+	snprintf(key, capacity_bytes, "m/%s/%s/%" PRIx64 "/%" PRIx64, plan,
 	    origin->vm, origin->incarnation, number);
 }
 
 void
-kwb_generation_key_print(char *key, size_t room_bytes,
+kwb_generation_key_print(char *key, size_t capacity_bytes,
     const struct kwb_origin *origin, const char *name, unsigned starts)
 {
-	snprintf(key, room_bytes, "%s/%s/%" PRIx64 "/%u", name, origin->vm,
+	snprintf(key, capacity_bytes, "%s/%s/%" PRIx64 "/%u", name, origin->vm,
 	    origin->incarnation, starts);
 }
 
--- a/src/member/subset.c
+++ b/src/member/subset.c
@@ -40,7 +40,7 @@
     unsigned chosen_max)
 {
 	struct scored_agent *agents = calloc(vms->count + 1, sizeof(*agents));
-	unsigned count, first, end, room, used = 0;
+	unsigned count, first, end, remaining, used = 0;
 
 	if (agents == NULL)
 		return 0;
@@ -50,10 +50,10 @@
 		     strcmp(agents[end].vm->pool, agents[first].vm->pool) == 0;
 		     end++)
 			continue;
-		room = chosen_max - used;
+		remaining = chosen_max - used;
 		used +=
 		    select_in_pool(agents + first, end - first, failure_domain,
-			wanted < room ? wanted : room, chosen + used);
+			wanted < remaining ? wanted : remaining, chosen + used);
 	}
 	free(agents);
 	return used;
