--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -879,16 +879,16 @@
 /* ---- Dialect: what is spoken with clients and upstreams --------------------
  */
 
-enum kwb_call_kind {
-	KWB_CALL_FORWARD, /* a request for a route */
-	KWB_CALL_RESULTS, /* read results of a batch */
-	KWB_CALL_ITEM,	  /* read an item's body */
-	KWB_CALL_END	  /* end a batch */
+enum kwb_request_kind {
+	KWB_REQUEST_FORWARD,	  /* a request for a route */
+	KWB_REQUEST_READ_RESULTS, /* read results of a batch */
+	KWB_REQUEST_READ_ITEM,	  /* read an item's body */
+	KWB_REQUEST_END_BATCH	  /* end a batch */
 };
 
 /* A client's call, decoded. Texts live as long as the message. */
-struct kwb_call_head {
-	enum kwb_call_kind kind;
+struct kwb_request_head {
+	enum kwb_request_kind kind;
 	const char *id; /* of the request, "" when absent */
 	const char *host;
 	const char *prompt; /* its parts, "" when absent */
@@ -908,7 +908,7 @@
 	const struct kwb_message *headers; /* copied but for hop-by-hop ones */
 	const void *body;
 	size_t body_bytes;
-	const char *expect_incarnation; /* id of the upstream meant */
+	const char *expect_upstream_id; /* id of the upstream meant */
 	uint64_t deadline_ns;
 	uint64_t resume_after;	 /* last event that is there; 0 for none */
 	uint64_t expect_version; /* weights wanted; 0 for any */
@@ -932,7 +932,7 @@
 enum kwb_item_state { KWB_ITEM_COMPLETED, KWB_ITEM_ERRORED };
 
 /* A result of an item, before it is listed. */
-struct kwb_result {
+struct kwb_item_result {
 	const char *id;
 	enum kwb_item_state state;
 	const char *output;
@@ -943,13 +943,13 @@
 };
 
 /* An order to an upstream to change its weights. */
-struct kwb_order {
+struct kwb_weight_order {
 	const char *model;
 	uint64_t version;
 	const char *holder;
 	uint64_t fence;
-	uint64_t expect_seq;
-	const char *expect_incarnation;
+	uint64_t expect_order_seq;
+	const char *expect_upstream_id;
 };
 
 /* The state an upstream reports of itself when asked. */
@@ -962,40 +962,40 @@
 
 struct kwb_batch_spec;
 
-struct kwb_dialect {
+struct kwb_message_codec {
 	const char *version_field; /* of events */
-	void (*read_call)(
-	    const struct kwb_message *message, struct kwb_call_head *call);
+	void (*parse_request)(
+	    const struct kwb_message *message, struct kwb_request_head *call);
 	void (*write_request)(
 	    const struct kwb_upstream_request *request, struct evbuffer *out);
-	void (*write_order)(const struct kwb_order *order,
+	void (*write_weight_order)(const struct kwb_weight_order *order,
 	    const struct kwb_address *address, struct evbuffer *out);
 	void (*write_report_request)(
 	    const struct kwb_address *address, struct evbuffer *out);
-	int (*read_report)(const struct kwb_message *message,
+	int (*parse_report)(const struct kwb_message *message,
 	    struct kwb_upstream_report *report);
-	void (*read_answer)(const struct kwb_message *message,
+	void (*parse_answer)(const struct kwb_message *message,
 	    struct kwb_upstream_answer *answer);
-	int (*write_result)(const struct kwb_result *result,
+	int (*write_item_result)(const struct kwb_item_result *result,
 	    struct kwb_buf *out); /* one entry of a list of results */
-	int (*write_results)(const char *const *results, uint32_t count,
+	int (*write_results_page)(const char *const *results, uint32_t count,
 	    uint32_t total, uint32_t next,
 	    struct kwb_buf *out); /* the whole answer */
-	int (*read_batch)(const char *body, size_t body_bytes,
+	int (*parse_batch)(const char *body, size_t body_bytes,
 	    struct kwb_batch_spec *spec); /* a submission */
 };
 
 /* Documents of the platform's store that a node follows. */
-struct kwb_documents {
+struct kwb_document_schema {
 	const char *operator_table;
 	const char *config_key;
 	const char *version_prefix; /* of keys that name a model's version */
 	const char *upstream_table;
-	int (*read_config)(struct kwb_node_config *config, const char *value,
+	int (*parse_config)(struct kwb_node_config *config, const char *value,
 	    size_t value_bytes, struct kwb_faults *faults);
-	int (*read_upstream)(struct kwb_upstream_status *status, const char *id,
-	    const char *value, size_t value_bytes);
-	int (*read_version)(const char *value, size_t value_bytes, char *model,
+	int (*parse_upstream)(struct kwb_upstream_status *status,
+	    const char *id, const char *value, size_t value_bytes);
+	int (*parse_version)(const char *value, size_t value_bytes, char *model,
 	    size_t model_bytes, uint64_t *version);
 };
 
@@ -1022,7 +1022,7 @@
 	struct event_base *base;
 	struct kwb_client *client;
 	struct kwb_registry *registry;
-	const struct kwb_dialect *dialect;
+	const struct kwb_message_codec *codec;
 	const char *failure_domain; /* of this node */
 	struct kwb_prefix_map *prefixes;
 };
@@ -1512,8 +1512,8 @@
 	struct event_base *base;
 	const struct kwb_node_settings *settings;
 	struct kwb_store *store;
-	const struct kwb_dialect *dialect;
-	const struct kwb_documents *documents;
+	const struct kwb_message_codec *codec;
+	const struct kwb_document_schema *schema;
 	struct kwb_client client;
 	struct kwb_registry registry;
 	struct kwb_forward_env forward;
@@ -1543,8 +1543,8 @@
 
 int kwb_node_init(struct kwb_node *node, struct event_base *base,
     const struct kwb_node_settings *settings, struct kwb_store *store,
-    const struct kwb_dialect *dialect, const struct kwb_documents *documents,
-    void (*on_stopped)(void *context),
+    const struct kwb_message_codec *codec,
+    const struct kwb_document_schema *schema, void (*on_stopped)(void *context),
     void *context);			     /* begins to serve on the loop */
 void kwb_node_stop(struct kwb_node *node);   /* graceful; on_stopped follows */
 void kwb_node_finish(struct kwb_node *node); /* closes everything */
--- a/src/batch/accept.c
+++ b/src/batch/accept.c
@@ -191,7 +191,7 @@
 		accept_complete(accept, KWB_ACCEPT_TAKEN, "known");
 		return;
 	}
-	code = accept->batches->env->forward->dialect->read_batch(
+	code = accept->batches->env->forward->codec->parse_batch(
 	    accept->body, accept->body_bytes, &accept->spec);
 	if (code != 0) {
 		accept_complete(
--- a/src/batch/list.c
+++ b/src/batch/list.c
@@ -30,7 +30,7 @@
 format_result(const struct item_run *run, struct kwb_buf *value)
 {
 	bool completed = run->result == KWB_ITEM_COMPLETED;
-	struct kwb_result result = {.id = run->item->id,
+	struct kwb_item_result result = {.id = run->item->id,
 	    .state = run->result,
 	    .output = completed ? kwb_buf_text(&run->text) : "",
 	    .output_bytes = completed ? run->text.used_bytes : 0,
@@ -38,7 +38,7 @@
 	    .versions_count = completed ? run->versions_count : 0,
 	    .score = run->receipt};
 
-	return run->batch->batches->env->forward->dialect->write_result(
+	return run->batch->batches->env->forward->codec->write_item_result(
 	    &result, value);
 }
 
--- a/src/batch/load.c
+++ b/src/batch/load.c
@@ -277,7 +277,7 @@
 	int code = answer->error;
 
 	if (code == 0)
-		code = batch->batches->env->forward->dialect->read_batch(
+		code = batch->batches->env->forward->codec->parse_batch(
 		    kwb_buf_text(&answer->object), answer->object.used_bytes,
 		    &spec);
 	if (code == 0)
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -56,7 +56,7 @@
 	}
 	read->next = read->after + 1;
 	read_done(read,
-	    read->batches->env->forward->dialect->write_results(
+	    read->batches->env->forward->codec->write_results_page(
 		&text, 1, read->total, read->next, &read->answer));
 }
 
@@ -77,8 +77,8 @@
 results_format(
     struct kwb_batch_read *read, const struct kwb_store_answer *answer)
 {
-	const struct kwb_dialect *dialect =
-	    read->batches->env->forward->dialect;
+	const struct kwb_message_codec *codec =
+	    read->batches->env->forward->codec;
 	const char **results = calloc(answer->rows_count + 1, sizeof(char *));
 	size_t bytes = 0;
 	uint32_t count = 0;
@@ -106,7 +106,7 @@
 	}
 	read->next = read->after + count;
 	if (results != NULL)
-		code = dialect->write_results(
+		code = codec->write_results_page(
 		    results, count, read->total, read->next, &read->answer);
 	free(results);
 	read_done(read, code);
@@ -228,7 +228,7 @@
 			: answer->error);
 		return;
 	}
-	code = read->batches->env->forward->dialect->read_batch(
+	code = read->batches->env->forward->codec->parse_batch(
 	    kwb_buf_text(&answer->object), answer->object.used_bytes, &spec);
 	if (code == 0) {
 		code = add_item_body(&spec, read);
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -160,7 +160,7 @@
 	struct item_run *run = exchange->context;
 	struct kwb_upstream_answer answer;
 
-	run_env(run)->forward->dialect->read_answer(
+	run_env(run)->forward->codec->parse_answer(
 	    kwb_exchange_message(exchange), &answer);
 	if (answer.has_load) {
 		run->upstream->reported_load = answer.running + answer.waiting;
@@ -266,7 +266,7 @@
 		kwb_batches_dispatch(run->batch->batches);
 		return;
 	}
-	run_env(run)->forward->dialect->read_answer(
+	run_env(run)->forward->codec->parse_answer(
 	    kwb_exchange_message(exchange), &answer);
 	handle_refusal(run, &answer);
 }
@@ -301,7 +301,7 @@
 	    .headers = &run->item->headers,
 	    .body = run->item->body,
 	    .body_bytes = run->item->body_bytes,
-	    .expect_incarnation = upstream->status.id,
+	    .expect_upstream_id = upstream->status.id,
 	    .deadline_ns = kwb_clock_now_ns() + left_ms * KWB_MS_NS,
 	    .resume_after = run->last_event,
 	    .priority = run_priority(run)};
@@ -323,13 +323,13 @@
 	run->stream_broken = false;
 	run->last_event_ns = 0;
 	run->started_ns = kwb_clock_now_ns();
-	kwb_events_init(&run->events, env->dialect->version_field);
+	kwb_events_init(&run->events, env->codec->version_field);
 	kwb_upstream_ref(upstream);
 	upstream->in_flight++;
 	upstream->probing = upstream->failures >= KWB_SUSPECT_FAILURES;
 	kwb_text_copy(batch->groups[run->group].upstream_id, KWB_NAME_MAX_BYTES,
 	    upstream->status.id);
-	env->dialect->write_request(&request, out);
+	env->codec->write_request(&request, out);
 	run_log(run, "start", run->last_event > 0 ? "resume" : "new");
 	code = kwb_exchange_start(
 	    &run->exchange, env->client, &upstream->status.address, out);
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -15,7 +15,7 @@
 	struct kwb_upstream_answer answer = {0};
 
 	if (forward->outcome == KWB_FORWARD_ANSWERED)
-		run_env(run)->forward->dialect->read_answer(
+		run_env(run)->forward->codec->parse_answer(
 		    &forward->answer, &answer);
 	if (answer.status / 100 == 2 && answer.receipt != NULL) {
 		run->receipt = strdup(answer.receipt);
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -153,7 +153,7 @@
 	struct kwb_upstream *upstream = attempt->upstream;
 	struct kwb_upstream_answer answer;
 
-	forward->env->dialect->read_answer(message, &answer);
+	forward->env->codec->parse_answer(message, &answer);
 	record_load(upstream, &answer);
 	if (!is_answer_to_request(forward, &answer)) {
 		attempt_failed(attempt, false, "answer_of_another_request");
@@ -223,7 +223,7 @@
 
 	if (forward->on_data == NULL)
 		return;
-	forward->env->dialect->read_answer(message, &answer);
+	forward->env->codec->parse_answer(message, &answer);
 	if (answer.not_run || answer.status >= 300 ||
 	    !is_answer_to_request(forward, &answer))
 		return;
@@ -303,8 +303,8 @@
 	kwb_upstream_ref(upstream);
 	upstream->in_flight++;
 	upstream->probing = upstream->failures >= KWB_SUSPECT_FAILURES;
-	forward->request.expect_incarnation = upstream->status.id;
-	forward->env->dialect->write_request(&forward->request, out);
+	forward->request.expect_upstream_id = upstream->status.id;
+	forward->env->codec->write_request(&forward->request, out);
 	forward->sent_count++;
 	if (forward->tried_count < KWB_FORWARD_ATTEMPTS_MAX)
 		forward->tried[forward->tried_count++] = upstream;
--- a/src/node/caller.h
+++ b/src/node/caller.h
@@ -18,7 +18,7 @@
 	bool was_partial;    /* part of a head lay there at the last look */
 	uint64_t seen_bytes; /* of a request that is not whole, then */
 	bool busy;
-	struct kwb_call_head call;
+	struct kwb_request_head call;
 	char route[KWB_NAME_MAX_BYTES];
 	/* the request in progress is one of these */
 	struct kwb_forward *forward;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -17,7 +17,7 @@
 	int code = KWB_ERR_MEMORY;
 
 	if (config != NULL && faults != NULL && !row->deleted)
-		code = node->documents->read_config(
+		code = node->schema->parse_config(
 		    config, row->value, row->value_bytes, faults);
 	if (code != 0 ||
 	    (node->config != NULL &&
@@ -50,19 +50,19 @@
 operator_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_node *node = context;
-	const struct kwb_documents *documents = node->documents;
+	const struct kwb_document_schema *schema = node->schema;
 	char model[KWB_NAME_MAX_BYTES];
 	uint64_t version;
 
-	if (strcmp(row->key, documents->config_key) == 0) {
+	if (strcmp(row->key, schema->config_key) == 0) {
 		config_row(node, row);
 		return;
 	}
 	if (row->deleted ||
-	    strncmp(row->key, documents->version_prefix,
-		strlen(documents->version_prefix)) != 0)
+	    strncmp(row->key, schema->version_prefix,
+		strlen(schema->version_prefix)) != 0)
 		return;
-	if (documents->read_version(row->value, row->value_bytes, model,
+	if (schema->parse_version(row->value, row->value_bytes, model,
 		sizeof(model), &version) != 0) {
 		kwb_log(KWB_LOG_WARN, "node", "event=version_unreadable key=%s",
 		    row->key);
@@ -104,7 +104,7 @@
 		upstream_gone(node, row->key);
 		return;
 	}
-	if (node->documents->read_upstream(
+	if (node->schema->parse_upstream(
 		&status, row->key, row->value, row->value_bytes) != 0) {
 		kwb_log(KWB_LOG_WARN, "node", "event=upstream_unreadable id=%s",
 		    row->key);
@@ -231,11 +231,11 @@
 		    &node->peers, path_changed, node);
 	if (code == 0)
 		code = kwb_follower_init(&node->operator_rows, node->base,
-		    node->store, node->documents->operator_table, operator_row,
+		    node->store, node->schema->operator_table, operator_row,
 		    NULL, node);
 	if (code == 0)
 		code = kwb_follower_init(&node->upstream_rows, node->base,
-		    node->store, node->documents->upstream_table, upstream_row,
+		    node->store, node->schema->upstream_table, upstream_row,
 		    NULL, node);
 	return code;
 }
@@ -243,8 +243,9 @@
 int
 kwb_node_init(struct kwb_node *node, struct event_base *base,
     const struct kwb_node_settings *settings, struct kwb_store *store,
-    const struct kwb_dialect *dialect, const struct kwb_documents *documents,
-    void (*on_stopped)(void *context), void *context)
+    const struct kwb_message_codec *codec,
+    const struct kwb_document_schema *schema, void (*on_stopped)(void *context),
+    void *context)
 {
 	int code;
 
@@ -252,8 +253,8 @@
 	node->base = base;
 	node->settings = settings;
 	node->store = store;
-	node->dialect = dialect;
-	node->documents = documents;
+	node->codec = codec;
+	node->schema = schema;
 	node->on_stopped = on_stopped;
 	node->context = context;
 	node->incarnation = kwb_clock_wall_ms();
@@ -265,7 +266,7 @@
 	node->forward = (struct kwb_forward_env){.base = base,
 	    .client = &node->client,
 	    .registry = &node->registry,
-	    .dialect = dialect,
+	    .codec = codec,
 	    .failure_domain = settings->failure_domain,
 	    .prefixes = &node->parts};
 	node->batch_env = (struct kwb_batch_env){.base = base,
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -226,7 +226,7 @@
 	read->deadline_ns =
 	    read->wait_deadline_ns + KWB_READ_TRY_MS * KWB_MS_NS;
 	kwb_text_copy(read->batch, sizeof(read->batch), caller->call.batch);
-	if (caller->call.kind == KWB_CALL_ITEM)
+	if (caller->call.kind == KWB_REQUEST_READ_ITEM)
 		kwb_text_copy(
 		    read->item, sizeof(read->item), caller->call.item);
 	kwb_batch_read_start(read);
@@ -238,21 +238,21 @@
 	struct kwb_message *message = &caller->conn.message;
 	const struct kwb_route_entry *route;
 
-	caller->node->dialect->read_call(message, &caller->call);
+	caller->node->codec->parse_request(message, &caller->call);
 	caller->route[0] = '\0';
 	if (caller->node->config == NULL) {
 		answer_own(caller, 503, "no_config_yet");
 		return;
 	}
 	switch (caller->call.kind) {
-	case KWB_CALL_RESULTS:
-	case KWB_CALL_ITEM:
+	case KWB_REQUEST_READ_RESULTS:
+	case KWB_REQUEST_READ_ITEM:
 		serve_read(caller);
 		return;
-	case KWB_CALL_END:
+	case KWB_REQUEST_END_BATCH:
 		serve_end(caller);
 		return;
-	case KWB_CALL_FORWARD:
+	case KWB_REQUEST_FORWARD:
 		break;
 	}
 	route = kwb_node_config_find_route(caller->node->config,
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -29,7 +29,7 @@
 	uint32_t i;
 
 	if (upstream == NULL ||
-	    updater->env->forward->dialect->read_report(message, &report) != 0)
+	    updater->env->forward->codec->parse_report(message, &report) != 0)
 		return;
 	replica->order_seq = report.order_seq;
 	replica->order_seq_known = true;
@@ -146,7 +146,7 @@
 	struct evbuffer *out = evbuffer_new();
 
 	replica->report_pending = true;
-	replica->updater->env->forward->dialect->write_report_request(
+	replica->updater->env->forward->codec->write_report_request(
 	    &upstream->status.address, out);
 	exchange_send(replica, upstream, out);
 }
@@ -156,12 +156,12 @@
     const struct kwb_upstream *upstream, uint64_t version)
 {
 	struct kwb_weight_updater *updater = replica->updater;
-	struct kwb_order order = {.model = replica->model,
+	struct kwb_weight_order order = {.model = replica->model,
 	    .version = version,
 	    .holder = updater->env->settings->node,
 	    .fence = kwb_store_lease_fence(&updater->lease),
-	    .expect_seq = replica->order_seq,
-	    .expect_incarnation = upstream->status.id};
+	    .expect_order_seq = replica->order_seq,
+	    .expect_upstream_id = upstream->status.id};
 	struct evbuffer *out;
 
 	if (order.fence == 0)
@@ -172,12 +172,12 @@
 	    replica->id, replica->model, (unsigned long long)version,
 	    (unsigned long long)kwb_upstream_version(upstream, replica->model),
 	    (unsigned long long)order.fence,
-	    (unsigned long long)order.expect_seq);
+	    (unsigned long long)order.expect_order_seq);
 	kwb_metric_add(KWB_METRIC_SWAPS, 1);
 	replica->target_version = version;
 	replica->order_pending = true;
 	out = evbuffer_new();
-	updater->env->forward->dialect->write_order(
+	updater->env->forward->codec->write_weight_order(
 	    &order, &upstream->status.address, out);
 	exchange_send(replica, upstream, out);
 }
--- a/tests/fuzz/answer.c
+++ b/tests/fuzz/answer.c
@@ -9,8 +9,8 @@
 	struct kwb_upstream_answer answer;
 	struct kwb_upstream_report report;
 
-	platform_dialect.read_answer(message, &answer);
-	if (platform_dialect.read_report(message, &report) == 0 &&
+	platform_message_codec.parse_answer(message, &answer);
+	if (platform_message_codec.parse_report(message, &report) == 0 &&
 	    report.models_count > KWB_MODELS_MAX)
 		abort();
 }
--- a/tests/fuzz/document.c
+++ b/tests/fuzz/document.c
@@ -24,16 +24,16 @@
 	memset(&config, 0, sizeof(config));
 	switch (which % 4) {
 	case 0:
-		if (platform_documents.read_config(
+		if (platform_document_schema.parse_config(
 			&config, text, length_bytes, &faults) == 0)
 			kwb_node_config_finish(&config);
 		break;
 	case 1:
-		platform_documents.read_upstream(
+		platform_document_schema.parse_upstream(
 		    &status, "i", text, length_bytes);
 		break;
 	case 2:
-		platform_documents.read_version(
+		platform_document_schema.parse_version(
 		    text, length_bytes, model, sizeof(model), &version);
 		break;
 	default:
--- a/tests/fuzz/request.c
+++ b/tests/fuzz/request.c
@@ -6,11 +6,11 @@
 static void
 on_request(const struct kwb_message *message)
 {
-	struct kwb_call_head call;
+	struct kwb_request_head call;
 	struct kwb_batch_spec spec;
 
-	platform_dialect.read_call(message, &call);
-	if (platform_dialect.read_batch(kwb_buf_text(&message->body),
+	platform_message_codec.parse_request(message, &call);
+	if (platform_message_codec.parse_batch(kwb_buf_text(&message->body),
 		message->body.used_bytes, &spec) == 0)
 		kwb_batch_spec_finish(&spec);
 }
--- a/tests/fuzz/rows.c
+++ b/tests/fuzz/rows.c
@@ -16,7 +16,7 @@
 
 	kwb_log_init("fuzz", KWB_LOG_ERROR + 1);
 	kwb_buf_init(&values);
-	platform_rows_read(json_object_get(body, "rows"), &answer, &values);
+	platform_parse_rows(json_object_get(body, "rows"), &answer, &values);
 	for (i = 0; i < answer.rows_count; i++)
 		if (answer.rows[i].value[answer.rows[i].value_bytes] != '\0')
 			abort();
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1590,13 +1590,13 @@
 	struct kwb_upstream_status status;
 	unsigned i;
 
-	CU_ASSERT_EQUAL(platform_read_upstream(&status, "i-1", upstream_text,
+	CU_ASSERT_EQUAL(platform_parse_upstream(&status, "i-1", upstream_text,
 			    strlen(upstream_text)),
 	    0);
 	CU_ASSERT_EQUAL(status.models[0].version, 7);
 	CU_ASSERT_EQUAL(status.order_seq, 4);
 	for (i = 0; i < COUNT(unreadable); i++)
-		CU_ASSERT_NOT_EQUAL(platform_read_upstream(&status, "i-1",
+		CU_ASSERT_NOT_EQUAL(platform_parse_upstream(&status, "i-1",
 					unreadable[i], strlen(unreadable[i])),
 		    0);
 }
@@ -1627,7 +1627,7 @@
 	struct kwb_batch_spec spec;
 	struct kwb_faults faults = {0};
 
-	CU_ASSERT_EQUAL(platform_read_config(
+	CU_ASSERT_EQUAL(platform_parse_config(
 			    &config, config_text, strlen(config_text), &faults),
 	    0);
 	CU_ASSERT_EQUAL(config.routes[0].splits_count, 2);
@@ -1635,7 +1635,7 @@
 	CU_ASSERT_EQUAL(config.max_header_bytes, 100);
 	kwb_node_config_finish(&config);
 	CU_ASSERT_EQUAL(
-	    platform_read_batch(batch_text, strlen(batch_text), &spec), 0);
+	    platform_parse_batch(batch_text, strlen(batch_text), &spec), 0);
 	CU_ASSERT_EQUAL(spec.items[0].length_hint, 300);
 	CU_ASSERT_EQUAL(spec.items[0].body_bytes, 3);
 	kwb_batch_spec_finish(&spec);
@@ -1687,13 +1687,13 @@
 	for (i = 0; i < MUTATIONS; i++) {
 		memset(&faults, 0, sizeof(faults));
 		length = mutate(text, sizeof(text), config_text, &seed);
-		if (platform_read_config(&config, text, length, &faults) == 0)
+		if (platform_parse_config(&config, text, length, &faults) == 0)
 			kwb_node_config_finish(&config);
 		length = mutate(text, sizeof(text), batch_text, &seed);
-		if (platform_read_batch(text, length, &spec) == 0)
+		if (platform_parse_batch(text, length, &spec) == 0)
 			kwb_batch_spec_finish(&spec);
 		length = mutate(text, sizeof(text), upstream_text, &seed);
-		platform_read_upstream(&status, "i", text, length);
+		platform_parse_upstream(&status, "i", text, length);
 	}
 	CU_ASSERT_EQUAL(i, MUTATIONS); /* no input ended the process */
 }
@@ -1708,10 +1708,10 @@
 parsed_message(struct kwb_conn *conn)
 {
 	struct parsed *parsed = conn->context;
-	struct kwb_call_head call;
+	struct kwb_request_head call;
 
 	parsed->messages++;
-	platform_dialect.read_call(&conn->message, &call);
+	platform_message_codec.parse_request(&conn->message, &call);
 	kwb_conn_next(conn);
 }
 
--- a/tests/platform/stage.c
+++ b/tests/platform/stage.c
@@ -145,8 +145,8 @@
 	if (platform_store_init(
 		&node->store, node->stage->base, &node->settings.store) != 0 ||
 	    kwb_node_init(&node->node, node->stage->base, &node->settings,
-		&node->store.store, &platform_dialect, &platform_documents,
-		on_stopped, node) != 0)
+		&node->store.store, &platform_message_codec,
+		&platform_document_schema, on_stopped, node) != 0)
 		abort();
 	node->running = true;
 }
