--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -876,125 +876,158 @@
 const char *kwb_prefix_map_find(struct kwb_prefix_map *map, const char *service,
     const char *prompt); /* id for its longest known prefix, NULL for none */
 
-/* ---- Dialect: what is spoken with clients and upstreams --------------------
+/* ---- Dialect: the platform's messages and documents ------------------------
+ */
+
+/*
+ * What the platform's clients, upstreams and store exchange, in types that do
+ * not depend on its formats. The adapter in platform/ translates: a
+ * kwb_message_codec parses and writes HTTP messages, a kwb_document_schema
+ * parses the documents in the store.
  */
 
 enum kwb_request_kind {
-	KWB_REQUEST_FORWARD,	  /* a request for a route */
-	KWB_REQUEST_READ_RESULTS, /* read results of a batch */
-	KWB_REQUEST_READ_ITEM,	  /* read an item's body */
-	KWB_REQUEST_END_BATCH	  /* end a batch */
+	KWB_REQUEST_FORWARD,	  /* for a route, to be passed to an upstream */
+	KWB_REQUEST_READ_RESULTS, /* reads results of a batch */
+	KWB_REQUEST_READ_ITEM,	  /* reads the body that an item came with */
+	KWB_REQUEST_END_BATCH	  /* ends a batch */
 };
 
-/* A client's call, decoded. Texts live as long as the message. */
+/* Head of a client's request; its strings live as long as the message. */
 struct kwb_request_head {
 	enum kwb_request_kind kind;
-	const char *id; /* of the request, "" when absent */
-	const char *host;
-	const char *prompt; /* its parts, "" when absent */
-	uint64_t deadline_ns;
-	char batch[KWB_KEY_MAX_BYTES];
-	char item[KWB_KEY_MAX_BYTES];
-	uint32_t after;	  /* first position wanted */
+	const char *id;	      /* that the client gave it, "" when absent */
+	const char *host;     /* "" when absent */
+	const char *prompt;   /* "PART:TOKENS,...", "" when absent */
+	uint64_t deadline_ns; /* 0 for none */
+	char batch[KWB_KEY_MAX_BYTES]; /* id; "" for KWB_REQUEST_FORWARD */
+	char item[KWB_KEY_MAX_BYTES];  /* id, "" for none */
+	uint32_t after;		       /* position of the first result wanted */
 	uint32_t wait_ms; /* how long a read may wait for a result */
 };
 
 /* A request to an upstream. */
 struct kwb_upstream_request {
 	const char *method;
-	const char *target;
+	const char *target; /* path and query */
 	const char *host;
-	const char *id;
-	const struct kwb_message *headers; /* copied but for hop-by-hop ones */
+	const char *id; /* "" for none */
+	/* Client's headers to pass on, less the hop-by-hop ones, or NULL. */
+	const struct kwb_message *headers;
 	const void *body;
 	size_t body_bytes;
-	const char *expect_upstream_id; /* id of the upstream meant */
-	uint64_t deadline_ns;
-	uint64_t resume_after;	 /* last event that is there; 0 for none */
-	uint64_t expect_version; /* weights wanted; 0 for any */
-	int32_t priority;	 /* 0 first; -1 for none */
+	const char *expect_upstream_id; /* any other upstream refuses it */
+	uint64_t deadline_ns;		/* 0 for none */
+	uint64_t resume_after;	 /* id of the last event received; 0: start */
+	uint64_t expect_version; /* weights that it must run on; 0 for any */
+	int32_t priority;	 /* 0 is the highest; -1 for none */
 };
 
-/* The head of an upstream's answer, decoded. */
+/* Head of an upstream's answer; its strings live as long as the message. */
 struct kwb_upstream_answer {
 	uint16_t status;
 	const char *id;	     /* of the request it answers, NULL when absent */
-	const char *receipt; /* NULL when absent */
-	bool not_run;	     /* surely not run */
-	bool has_load;
-	uint32_t running;
-	uint32_t waiting;
-	uint32_t slots;
-	uint64_t version; /* of the weights, 0 when not named */
-	uint64_t keep_alive_ms;
+	const char *receipt; /* proves that the request ran, NULL when absent */
+	bool not_run;	     /* the upstream says that it did not run it */
+	bool has_load;	     /* the next three are known */
+	uint32_t running;    /* requests there */
+	uint32_t waiting;    /* requests there */
+	uint32_t slots;	     /* requests that it runs at a time */
+	uint64_t version;    /* of the weights, 0 when absent */
+	uint64_t keep_alive_ms; /* unused */
 };
 
 enum kwb_item_state { KWB_ITEM_COMPLETED, KWB_ITEM_ERRORED };
 
-/* A result of an item, before it is listed. */
+/* Result of a batch's item, as the trainer reads it. */
 struct kwb_item_result {
 	const char *id;
 	enum kwb_item_state state;
-	const char *output;
+	const char *output; /* generated text */
 	size_t output_bytes;
-	const uint64_t *versions;
+	const uint64_t *versions; /* of the weights that generated it */
 	uint32_t versions_count;
-	const char *score; /* receipt of the reward call */
+	const char *score; /* receipt of the scoring request, NULL for none */
 };
 
-/* An order to an upstream to change its weights. */
+/* An order to an upstream to load a version of a model's weights. */
 struct kwb_weight_order {
 	const char *model;
 	uint64_t version;
-	const char *holder;
-	uint64_t fence;
-	uint64_t expect_order_seq;
-	const char *expect_upstream_id;
+	const char *holder;	   /* node that holds the lease for orders */
+	uint64_t fence;		   /* fencing token of that lease */
+	uint64_t expect_order_seq; /* orders that the upstream has accepted */
+	const char *expect_upstream_id; /* any other upstream refuses it */
 };
 
-/* The state an upstream reports of itself when asked. */
+/* What an upstream reports when asked about its weights. */
 struct kwb_upstream_report {
-	uint64_t order_seq;
-	bool busy; /* an order is being carried out */
+	uint64_t order_seq; /* orders accepted since its start */
+	bool busy;	    /* carries out an order */
 	struct kwb_upstream_model models[KWB_MODELS_MAX];
 	uint32_t models_count;
 };
 
 struct kwb_batch_spec;
 
+/*
+ * Translates the platform's HTTP messages. Functions named write_ append to
+ * out. Those with a result return 0 or KWB_ERR_ARGUMENT or KWB_ERR_MEMORY.
+ */
 struct kwb_message_codec {
-	const char *version_field; /* of events */
+	const char *version_field; /* of events: version of the weights */
+	/* Parses the head of a client's request; never fails. */
 	void (*parse_request)(
-	    const struct kwb_message *message, struct kwb_request_head *call);
+	    const struct kwb_message *message, struct kwb_request_head *head);
+	/* Writes a whole request, head and body. */
 	void (*write_request)(
 	    const struct kwb_upstream_request *request, struct evbuffer *out);
+	/* Writes a request with that order; nothing when out of memory. */
 	void (*write_weight_order)(const struct kwb_weight_order *order,
 	    const struct kwb_address *address, struct evbuffer *out);
+	/* Writes a request that asks an upstream for its report. */
 	void (*write_report_request)(
 	    const struct kwb_address *address, struct evbuffer *out);
+	/* Parses the answer to it; KWB_ERR_ARGUMENT if that is no report. */
 	int (*parse_report)(const struct kwb_message *message,
 	    struct kwb_upstream_report *report);
+	/* Parses the head of an upstream's answer; never fails. */
 	void (*parse_answer)(const struct kwb_message *message,
 	    struct kwb_upstream_answer *answer);
-	int (*write_item_result)(const struct kwb_item_result *result,
-	    struct kwb_buf *out); /* one entry of a list of results */
+	/* Writes one result, as write_results_page() takes it. */
+	int (*write_item_result)(
+	    const struct kwb_item_result *result, struct kwb_buf *out);
+	/*
+	 * Writes the body that answers a read of results: total is the number
+	 * of the batch's items, next the position to read from next.
+	 */
 	int (*write_results_page)(const char *const *results, uint32_t count,
-	    uint32_t total, uint32_t next,
-	    struct kwb_buf *out); /* the whole answer */
-	int (*parse_batch)(const char *body, size_t body_bytes,
-	    struct kwb_batch_spec *spec); /* a submission */
+	    uint32_t total, uint32_t next, struct kwb_buf *out);
+	/* Parses a submission; kwb_batch_spec_finish() frees the result. */
+	int (*parse_batch)(
+	    const char *body, size_t body_bytes, struct kwb_batch_spec *spec);
 };
 
-/* Documents of the platform's store that a node follows. */
+/*
+ * Documents in the store that a node follows: in which tables and under which
+ * keys they are, and how to parse them. The functions return 0 or a negative
+ * KWB_ERR_ number.
+ */
 struct kwb_document_schema {
-	const char *operator_table;
+	const char *operator_table; /* has the config and the versions */
 	const char *config_key;
 	const char *version_prefix; /* of keys that name a model's version */
-	const char *upstream_table;
+	const char *upstream_table; /* has the upstreams' heartbeats */
+	/*
+	 * Parses routes and services; adds what is wrong to faults.
+	 * kwb_node_config_finish() frees the result.
+	 */
 	int (*parse_config)(struct kwb_node_config *config, const char *value,
 	    size_t value_bytes, struct kwb_faults *faults);
+	/* Parses the heartbeat of the upstream of that id. */
 	int (*parse_upstream)(struct kwb_upstream_status *status,
 	    const char *id, const char *value, size_t value_bytes);
+	/* Parses which version of a model the operator has published. */
 	int (*parse_version)(const char *value, size_t value_bytes, char *model,
 	    size_t model_bytes, uint64_t *version);
 };
