--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -179,17 +179,21 @@
 #define KWB_CLAIMS_MAX 32	    /* claims in progress */
 
 /* Nodes */
-#define KWB_CALLER_IDLE_MS 15000  /* before a config names one */
-#define KWB_CALLER_HEAD_MS 3000	  /* likewise */
-#define KWB_END_TRY_MS 3000	  /* a batch's end is tried for this long */
-#define KWB_READ_WAIT_MAX_MS 1000 /* a reader waits for a result */
-#define KWB_READ_TRY_MS 1500	  /* a read without store is tried */
-#define KWB_NODE_TICK_NS (200 * KWB_MS_NS)
-#define KWB_STORE_AWAY_NS (1000 * KWB_MS_NS)  /* entries may have lapsed */
-#define KWB_ENTRY_BACK_NS (2300 * KWB_MS_NS)  /* after its return, or gone */
-#define KWB_READY_STORE_NS (5000 * KWB_MS_NS) /* ready without the store */
-#define KWB_STOP_LEAST_NS (3000 * KWB_MS_NS)  /* the balancer looks thrice */
-#define KWB_STOP_MARGIN_MS 1200		      /* ended before the kill */
+#define KWB_CALLER_IDLE_TIMEOUT_MS 15000 /* where the config sets none */
+#define KWB_CALLER_HEAD_TIMEOUT_MS 3000	 /* where the config sets none */
+#define KWB_BATCH_END_TIMEOUT_MS 3000	/* with retries while the store fails */
+#define KWB_BATCH_READ_WAIT_MAX_MS 1000 /* a read may wait for a new result */
+#define KWB_BATCH_READ_TIMEOUT_MS 1500	/* after that wait, as for an end */
+#define KWB_NODE_CHECK_NS (200 * KWB_MS_NS) /* between checks by the timer */
+/* A shorter outage of the store lets no entry of an upstream expire. */
+#define KWB_STORE_OUTAGE_NS (1000 * KWB_MS_NS)
+/* After an outage, upstreams put back their expired entries in this time. */
+#define KWB_UPSTREAM_RETURN_NS (2300 * KWB_MS_NS)
+/* A node is not ready when the store has not answered for so long. */
+#define KWB_READY_STORE_AGE_NS (5000 * KWB_MS_NS)
+/* Shortest stop: the load balancer checks the node three times meanwhile. */
+#define KWB_STOP_MIN_NS (3000 * KWB_MS_NS)
+#define KWB_STOP_MARGIN_MS 1200 /* from the end of a stop to SIGKILL */
 #define KWB_LOG_FLUSH_NS (100 * KWB_MS_NS)
 #define KWB_LOG_BUFFER_BYTES 65536
 #define KWB_LOG_LINES_PER_S 400 /* further lines are counted, not written */
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -528,12 +528,12 @@
 	struct kwb_address peers;   /* other nodes; port 0 for none */
 	uint32_t memory_mb;
 	uint32_t processor_milli; /* thousandths of a core */
-	uint32_t descriptors;
-	uint32_t grace_ms;	/* from SIGTERM to SIGKILL */
-	uint32_t lease_ms;	/* between two holders of orders */
-	uint32_t batch_keep_ms; /* a result is readable for this long */
-	uint32_t row_max_bytes; /* largest value of a row */
-	bool orders_fenced;	/* upstreams check fencing tokens */
+	uint32_t fds_max;
+	uint32_t grace_ms;	  /* from SIGTERM to SIGKILL */
+	uint32_t lease_ms;	  /* between two holders of orders */
+	uint32_t batch_keep_ms;	  /* a result is readable for this long */
+	uint32_t row_max_bytes;	  /* largest value of a row */
+	bool is_fencing_enforced; /* upstreams check fencing tokens */
 };
 
 void kwb_node_settings_init(
@@ -1517,16 +1517,16 @@
 	struct kwb_client client;
 	struct kwb_registry registry;
 	struct kwb_forward_env forward;
-	struct kwb_prefix_map parts;
+	struct kwb_prefix_map prefixes;
 	struct kwb_batch_env batch_env;
 	struct kwb_batches batches;
-	struct kwb_weight_updater mover;
-	struct kwb_store_watchdog store_watch;
+	struct kwb_weight_updater weight_updater;
+	struct kwb_store_watchdog store_watchdog;
 	struct kwb_relay relay;
 	struct kwb_peers peers;
 	struct kwb_detour detour;
-	struct kwb_follower operator_rows;
-	struct kwb_follower upstream_rows;
+	struct kwb_follower operator_follower;
+	struct kwb_follower upstream_follower;
 	struct kwb_node_config *config; /* newest, NULL before the first */
 	struct evconnlistener *listener;
 	struct evconnlistener *ready_listener;
@@ -1535,8 +1535,8 @@
 	struct event *timer;
 	uint64_t incarnation;
 	uint64_t stop_deadline_ns; /* 0 while not stopping */
-	uint64_t stop_begin_ns;
-	uint32_t callers_busy;
+	uint64_t stop_started_ns;
+	uint32_t busy_callers_count;
 	void (*on_stopped)(void *context);
 	void *context;
 };
--- a/src/node/answer.c
+++ b/src/node/answer.c
@@ -10,23 +10,25 @@
 #include "caller.h"
 
 /* Headers that concern one connection. */
-static const char *const hop_headers[] = {"Connection", "Keep-Alive",
+static const char *const hop_by_hop_headers[] = {"Connection", "Keep-Alive",
     "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade",
     "Content-Length"};
 
 static bool
-is_hop(const char *name)
+is_hop_by_hop(const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < sizeof(hop_headers) / sizeof(hop_headers[0]); i++)
-		if (strcasecmp(hop_headers[i], name) == 0)
+	for (i = 0;
+	     i < sizeof(hop_by_hop_headers) / sizeof(hop_by_hop_headers[0]);
+	     i++)
+		if (strcasecmp(hop_by_hop_headers[i], name) == 0)
 			return true;
 	return false;
 }
 
 static void
-write_status(struct kwb_caller *caller, uint16_t status)
+write_status_line(struct kwb_caller *caller, uint16_t status)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
@@ -39,14 +41,14 @@
 }
 
 static void
-log_answer(const struct kwb_caller *caller, uint16_t status, const char *reason,
-    const char *upstream)
+record_answer(const struct kwb_caller *caller, uint16_t status,
+    const char *reason, const char *upstream)
 {
-	uint64_t taken_ns = kwb_clock_now_ns() - caller->begin_ns;
+	uint64_t elapsed_ns = kwb_clock_now_ns() - caller->started_ns;
 
-	if (caller->port != CALLER_FRONT)
+	if (caller->port != CALLER_PORT_REQUESTS)
 		return;
-	kwb_histogram_add(KWB_HISTOGRAM_CALLER, taken_ns);
+	kwb_histogram_add(KWB_HISTOGRAM_CALLER, elapsed_ns);
 	kwb_log(KWB_LOG_INFO, "caller",
 	    "event=answered id=%s batch=%s route=%s status=%u reason=%s "
 	    "upstream=%s config=%llu taken_ms=%llu",
@@ -56,7 +58,7 @@
 	    (unsigned long long)(caller->node->config
 		    ? caller->node->config->version
 		    : 0),
-	    (unsigned long long)(taken_ns / KWB_MS_NS));
+	    (unsigned long long)(elapsed_ns / KWB_MS_NS));
 }
 
 void
@@ -65,13 +67,13 @@
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
-	write_status(caller, status);
+	write_status_line(caller, status);
 	evbuffer_add_printf(out,
 	    "Content-Type: %s\r\nContent-Length: %zu\r\n\r\n", type,
 	    body_bytes);
 	evbuffer_add(out, body, body_bytes);
-	log_answer(caller, status, "own", "-");
-	caller_done(caller);
+	record_answer(caller, status, "own", "-");
+	caller_finish_request(caller);
 }
 
 /* When to come back, in seconds, by what stands in the way. */
@@ -86,7 +88,7 @@
 }
 
 void
-answer_own(struct kwb_caller *caller, uint16_t status, const char *reason)
+answer_error(struct kwb_caller *caller, uint16_t status, const char *reason)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 	const char *after = retry_after(caller->node, status);
@@ -94,7 +96,7 @@
 	int length =
 	    snprintf(body, sizeof(body), "{\"error\":\"%.63s\"}", reason);
 
-	write_status(caller, status);
+	write_status_line(caller, status);
 	if (after != NULL)
 		evbuffer_add_printf(out, "Retry-After: %s\r\n", after);
 	evbuffer_add_printf(out,
@@ -102,8 +104,8 @@
 	    length);
 	if (strcmp(caller->conn.message.method, "HEAD") != 0)
 		evbuffer_add(out, body, (size_t)length);
-	log_answer(caller, status, reason, "-");
-	caller_done(caller);
+	record_answer(caller, status, reason, "-");
+	caller_finish_request(caller);
 }
 
 static void
@@ -113,31 +115,32 @@
 	uint32_t i;
 
 	for (i = 0; i < answer->headers_count; i++)
-		if (!is_hop(kwb_message_name(answer, i)))
+		if (!is_hop_by_hop(kwb_message_name(answer, i)))
 			evbuffer_add_printf(out, "%s: %s\r\n",
 			    kwb_message_name(answer, i),
 			    kwb_message_value(answer, i));
 }
 
 void
-answer_upstream(struct kwb_caller *caller, const struct kwb_message *answer)
+answer_from_upstream(
+    struct kwb_caller *caller, const struct kwb_message *answer)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
-	bool head = strcmp(caller->conn.message.method, "HEAD") == 0;
+	bool is_head = strcmp(caller->conn.message.method, "HEAD") == 0;
 	const char *length = kwb_message_header(answer, "Content-Length");
 
-	write_status(caller, answer->status);
+	write_status_line(caller, answer->status);
 	write_headers(caller, answer);
-	if (head && length != NULL)
+	if (is_head && length != NULL)
 		evbuffer_add_printf(out, "Content-Length: %s\r\n", length);
 	else if (answer->status != 204 && answer->status != 304)
 		evbuffer_add_printf(
 		    out, "Content-Length: %zu\r\n", answer->body.used_bytes);
 	evbuffer_add(out, "\r\n", 2);
 	evbuffer_add(out, answer->body.data, answer->body.used_bytes);
-	log_answer(
+	record_answer(
 	    caller, answer->status, "upstream", caller->forward->upstream_id);
-	caller_done(caller);
+	caller_finish_request(caller);
 }
 
 void
@@ -145,10 +148,10 @@
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
-	write_status(caller, answer->status);
+	write_status_line(caller, answer->status);
 	write_headers(caller, answer);
 	evbuffer_add_printf(out, "Transfer-Encoding: chunked\r\n\r\n");
-	log_answer(caller, answer->status, "stream_begins",
+	record_answer(caller, answer->status, "stream_begins",
 	    caller->forward->upstream_id);
 }
 
@@ -167,6 +170,7 @@
 answer_stream_end(struct kwb_caller *caller)
 {
 	evbuffer_add(kwb_conn_output(&caller->conn), "0\r\n\r\n", 5);
-	log_answer(caller, 200, "stream_whole", caller->forward->upstream_id);
-	caller_done(caller);
+	record_answer(
+	    caller, 200, "stream_whole", caller->forward->upstream_id);
+	caller_finish_request(caller);
 }
--- a/src/node/caller.c
+++ b/src/node/caller.c
@@ -37,8 +37,8 @@
 caller_free(struct kwb_caller *caller)
 {
 	request_free(caller);
-	if (caller->busy)
-		caller->node->callers_busy--;
+	if (caller->is_busy)
+		caller->node->busy_callers_count--;
 	TAILQ_REMOVE(&caller->node->callers, caller, entry);
 	event_free(caller->timer);
 	kwb_conn_finish(&caller->conn);
@@ -46,28 +46,28 @@
 }
 
 static uint64_t
-idle_ns(const struct kwb_node *node)
+idle_timeout_ns(const struct kwb_node *node)
 {
 	uint32_t idle_ms = node->config ? node->config->idle_timeout_ms : 0;
 
-	return (idle_ms ? idle_ms : KWB_CALLER_IDLE_MS) * KWB_MS_NS;
+	return (idle_ms ? idle_ms : KWB_CALLER_IDLE_TIMEOUT_MS) * KWB_MS_NS;
 }
 
 static void
-caller_arm(struct kwb_caller *caller)
+caller_arm_timer(struct kwb_caller *caller)
 {
 	const struct kwb_node *node = caller->node;
 	uint32_t head_ms = node->config ? node->config->header_timeout_ms : 0;
-	uint64_t next_ns = kwb_clock_now_ns() +
-	    (head_ms ? head_ms : KWB_CALLER_HEAD_MS) * KWB_MS_NS;
+	uint64_t check_ns = kwb_clock_now_ns() +
+	    (head_ms ? head_ms : KWB_CALLER_HEAD_TIMEOUT_MS) * KWB_MS_NS;
 
-	if (caller->idle_deadline_ns < next_ns)
-		next_ns = caller->idle_deadline_ns;
-	kwb_timer_at(caller->timer, next_ns);
+	if (caller->idle_deadline_ns < check_ns)
+		check_ns = caller->idle_deadline_ns;
+	kwb_timer_at(caller->timer, check_ns);
 }
 
 static void
-caller_limits(struct kwb_caller *caller)
+caller_apply_limits(struct kwb_caller *caller)
 {
 	const struct kwb_node_config *config = caller->node->config;
 
@@ -78,20 +78,21 @@
 }
 
 void
-caller_done(struct kwb_caller *caller)
+caller_finish_request(struct kwb_caller *caller)
 {
-	caller->busy = false;
-	caller->node->callers_busy--;
+	caller->is_busy = false;
+	caller->node->busy_callers_count--;
 	request_free(caller);
 	if (caller->node->stop_deadline_ns != 0 ||
 	    !caller->conn.message.keep_alive) {
 		kwb_conn_end(&caller->conn);
 		return;
 	}
-	caller->idle_deadline_ns = kwb_clock_now_ns() + idle_ns(caller->node);
+	caller->idle_deadline_ns =
+	    kwb_clock_now_ns() + idle_timeout_ns(caller->node);
 	caller->was_partial = false;
-	caller_limits(caller);
-	caller_arm(caller);
+	caller_apply_limits(caller);
+	caller_arm_timer(caller);
 	kwb_conn_next(&caller->conn);
 }
 
@@ -100,41 +101,43 @@
  * longer, as long as something comes within the time for idle connections.
  */
 static void
-caller_time(int fd, short what, void *context)
+caller_on_timer(int fd, short what, void *context)
 {
 	struct kwb_caller *caller = context;
 	const struct kwb_conn *conn = &caller->conn;
-	bool partial = conn->head_bytes > 0 && !conn->complete;
-	uint64_t seen_bytes = conn->head_bytes + conn->message.body.used_bytes;
+	bool is_partial = conn->head_bytes > 0 && !conn->complete;
+	uint64_t received_bytes =
+	    conn->head_bytes + conn->message.body.used_bytes;
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	(void)fd;
 	(void)what;
-	if (caller->busy)
+	if (caller->is_busy)
 		return;
-	if (partial && seen_bytes != caller->seen_bytes)
-		caller->idle_deadline_ns = now_ns + idle_ns(caller->node);
-	if (partial &&
+	if (is_partial && received_bytes != caller->received_bytes)
+		caller->idle_deadline_ns =
+		    now_ns + idle_timeout_ns(caller->node);
+	if (is_partial &&
 	    ((caller->was_partial && !conn->head_done) ||
 		now_ns >= caller->idle_deadline_ns)) {
-		caller->busy = true;
-		caller->node->callers_busy++;
+		caller->is_busy = true;
+		caller->node->busy_callers_count++;
 		caller->conn.message.keep_alive = false;
-		answer_own(caller, 408, "request_incomplete");
+		answer_error(caller, 408, "request_incomplete");
 		return;
 	}
-	if (!partial && now_ns >= caller->idle_deadline_ns) {
+	if (!is_partial && now_ns >= caller->idle_deadline_ns) {
 		caller_free(caller);
 		return;
 	}
-	caller->was_partial = partial;
-	caller->seen_bytes = seen_bytes;
-	caller_arm(caller);
+	caller->was_partial = is_partial;
+	caller->received_bytes = received_bytes;
+	caller_arm_timer(caller);
 }
 
 /* A caller may wait for a sign before it sends its body. */
 static void
-on_head(struct kwb_conn *conn)
+caller_on_head(struct kwb_conn *conn)
 {
 	const char *expect = kwb_message_header(&conn->message, "Expect");
 
@@ -144,31 +147,31 @@
 }
 
 static void
-on_message(struct kwb_conn *conn)
+caller_on_message(struct kwb_conn *conn)
 {
 	struct kwb_caller *caller = conn->context;
 
-	caller->busy = true;
-	caller->node->callers_busy++;
-	caller->begin_ns = kwb_clock_now_ns();
+	caller->is_busy = true;
+	caller->node->busy_callers_count++;
+	caller->started_ns = kwb_clock_now_ns();
 	event_del(caller->timer);
-	serve_message(caller);
+	caller_serve_request(caller);
 }
 
 static void
-on_close(struct kwb_conn *conn, int error)
+caller_on_close(struct kwb_conn *conn, int error)
 {
 	struct kwb_caller *caller = conn->context;
 
 	if (error == KWB_ERR_NET_MALFORMED || error == KWB_ERR_NET_HEAD_SIZE ||
 	    error == KWB_ERR_NET_BODY_SIZE) {
-		if (!caller->busy) {
-			caller->busy = true;
-			caller->node->callers_busy++;
+		if (!caller->is_busy) {
+			caller->is_busy = true;
+			caller->node->busy_callers_count++;
 		}
-		caller->begin_ns = kwb_clock_now_ns();
+		caller->started_ns = kwb_clock_now_ns();
 		conn->message.keep_alive = false;
-		answer_own(caller,
+		answer_error(caller,
 		    error == KWB_ERR_NET_HEAD_SIZE	 ? 431
 			: error == KWB_ERR_NET_BODY_SIZE ? 413
 							 : 400,
@@ -179,9 +182,9 @@
 }
 
 static const struct kwb_conn_ops conn_ops = {
-    .on_head = on_head,
-    .on_message = on_message,
-    .on_close = on_close,
+    .on_head = caller_on_head,
+    .on_message = caller_on_message,
+    .on_close = caller_on_close,
 };
 
 static void
@@ -195,7 +198,7 @@
 	}
 	caller->node = node;
 	caller->port = port;
-	caller->timer = kwb_timer_new(node->base, caller_time, caller);
+	caller->timer = kwb_timer_new(node->base, caller_on_timer, caller);
 	if (caller->timer == NULL ||
 	    kwb_conn_accept(&caller->conn, node->base, fd, &conn_ops, caller) !=
 		0) {
@@ -208,48 +211,49 @@
 		return;
 	}
 	TAILQ_INSERT_TAIL(&node->callers, caller, entry);
-	caller->idle_deadline_ns = kwb_clock_now_ns() + idle_ns(node);
-	caller_limits(caller);
-	caller_arm(caller);
+	caller->idle_deadline_ns = kwb_clock_now_ns() + idle_timeout_ns(node);
+	caller_apply_limits(caller);
+	caller_arm_timer(caller);
 }
 
 static void
-on_front(struct evconnlistener *listener, int fd, struct sockaddr *from,
-    int from_bytes, void *context)
+requests_on_accept(struct evconnlistener *listener, int fd,
+    struct sockaddr *peer, int peer_bytes, void *context)
 {
 	(void)listener;
-	(void)from;
-	(void)from_bytes;
-	caller_new(context, fd, CALLER_FRONT);
+	(void)peer;
+	(void)peer_bytes;
+	caller_new(context, fd, CALLER_PORT_REQUESTS);
 }
 
 static void
-on_ready(struct evconnlistener *listener, int fd, struct sockaddr *from,
-    int from_bytes, void *context)
+ready_on_accept(struct evconnlistener *listener, int fd, struct sockaddr *peer,
+    int peer_bytes, void *context)
 {
 	(void)listener;
-	(void)from;
-	(void)from_bytes;
-	caller_new(context, fd, CALLER_READY);
+	(void)peer;
+	(void)peer_bytes;
+	caller_new(context, fd, CALLER_PORT_READY);
 }
 
 static void
-on_metrics(struct evconnlistener *listener, int fd, struct sockaddr *from,
-    int from_bytes, void *context)
+metrics_on_accept(struct evconnlistener *listener, int fd,
+    struct sockaddr *peer, int peer_bytes, void *context)
 {
 	(void)listener;
-	(void)from;
-	(void)from_bytes;
-	caller_new(context, fd, CALLER_METRICS);
+	(void)peer;
+	(void)peer_bytes;
+	caller_new(context, fd, CALLER_PORT_METRICS);
 }
 
 int
 caller_listen(struct kwb_node *node, const struct kwb_address *address,
     enum caller_port port, struct evconnlistener **listener)
 {
-	evconnlistener_cb on_accept = port == CALLER_FRONT ? on_front
-	    : port == CALLER_READY			   ? on_ready
-							   : on_metrics;
+	evconnlistener_cb on_accept = port == CALLER_PORT_REQUESTS
+	    ? requests_on_accept
+	    : port == CALLER_PORT_READY ? ready_on_accept
+					: metrics_on_accept;
 
 	return kwb_socket_listen(
 	    node->base, address, on_accept, node, listener);
--- a/src/node/caller.h
+++ b/src/node/caller.h
@@ -6,7 +6,11 @@
 
 #include "kwb_node.h"
 
-enum caller_port { CALLER_FRONT, CALLER_READY, CALLER_METRICS };
+enum caller_port {
+	CALLER_PORT_REQUESTS,
+	CALLER_PORT_READY,
+	CALLER_PORT_METRICS
+};
 
 struct kwb_caller {
 	struct kwb_conn conn;
@@ -14,10 +18,10 @@
 	enum caller_port port;
 	struct event *timer;
 	uint64_t idle_deadline_ns;
-	uint64_t begin_ns;   /* of the request in progress */
-	bool was_partial;    /* part of a head lay there at the last look */
-	uint64_t seen_bytes; /* of a request that is not whole, then */
-	bool busy;
+	uint64_t started_ns;	 /* of the request in progress */
+	bool was_partial;	 /* part of a head lay there at the last look */
+	uint64_t received_bytes; /* of a request that is not whole, then */
+	bool is_busy;
 	struct kwb_call_head call;
 	char route[KWB_NAME_MAX_BYTES];
 	/* the request in progress is one of these */
@@ -32,14 +36,15 @@
 int caller_listen(struct kwb_node *node, const struct kwb_address *address,
     enum caller_port port, struct evconnlistener **listener);
 void caller_free(struct kwb_caller *caller);
-void caller_done(struct kwb_caller *caller); /* the answer is written */
+void caller_finish_request(
+    struct kwb_caller *caller); /* the answer is written */
 
 /* answer.c */
-void answer_own(struct kwb_caller *caller, uint16_t status,
+void answer_error(struct kwb_caller *caller, uint16_t status,
     const char *reason); /* an answer of the node itself */
 void answer_body(struct kwb_caller *caller, uint16_t status, const char *type,
     const void *body, size_t body_bytes);
-void answer_upstream(
+void answer_from_upstream(
     struct kwb_caller *caller, const struct kwb_message *answer);
 void answer_stream_begin(
     struct kwb_caller *caller, const struct kwb_message *answer);
@@ -47,7 +52,7 @@
 void answer_stream_end(struct kwb_caller *caller);
 
 /* serve.c */
-void serve_message(struct kwb_caller *caller);
+void caller_serve_request(struct kwb_caller *caller);
 
 /* node.c */
 bool node_is_ready(const struct kwb_node *node);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -10,7 +10,7 @@
 #include "caller.h"
 
 static void
-config_row(struct kwb_node *node, const struct kwb_row *row)
+apply_config_row(struct kwb_node *node, const struct kwb_row *row)
 {
 	struct kwb_faults *faults = calloc(1, sizeof(*faults));
 	struct kwb_node_config *config = calloc(1, sizeof(*config));
@@ -47,7 +47,7 @@
 }
 
 static void
-operator_row(void *context, const struct kwb_row *row)
+operator_on_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_node *node = context;
 	const struct kwb_documents *documents = node->documents;
@@ -55,7 +55,7 @@
 	uint64_t version;
 
 	if (strcmp(row->key, documents->config_key) == 0) {
-		config_row(node, row);
+		apply_config_row(node, row);
 		return;
 	}
 	if (row->deleted ||
@@ -68,7 +68,7 @@
 		    row->key);
 		return;
 	}
-	kwb_weight_updater_announce(&node->mover, model, version);
+	kwb_weight_updater_announce(&node->weight_updater, model, version);
 }
 
 /*
@@ -76,16 +76,16 @@
  * what is missing after that is taken as gone.
  */
 static void
-upstream_gone(struct kwb_node *node, const char *id)
+remove_upstream(struct kwb_node *node, const char *id)
 {
 	struct kwb_upstream *upstream = kwb_registry_find(&node->registry, id);
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (upstream == NULL)
 		return;
-	if (now_ns < node->store->recovered_ns + KWB_ENTRY_BACK_NS) {
+	if (now_ns < node->store->recovered_ns + KWB_UPSTREAM_RETURN_NS) {
 		upstream->removal_ns =
-		    node->store->recovered_ns + KWB_ENTRY_BACK_NS;
+		    node->store->recovered_ns + KWB_UPSTREAM_RETURN_NS;
 		return;
 	}
 	kwb_log(KWB_LOG_INFO, "node", "event=upstream_gone id=%s", id);
@@ -93,15 +93,15 @@
 }
 
 static void
-upstream_row(void *context, const struct kwb_row *row)
+upstream_on_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_node *node = context;
 	struct kwb_upstream_status status;
 	struct kwb_upstream *upstream;
-	bool known;
+	bool is_known;
 
 	if (row->deleted) {
-		upstream_gone(node, row->key);
+		remove_upstream(node, row->key);
 		return;
 	}
 	if (node->documents->read_upstream(
@@ -111,20 +111,20 @@
 		kwb_registry_remove(&node->registry, row->key);
 		return;
 	}
-	known = kwb_registry_find(&node->registry, row->key) != NULL;
+	is_known = kwb_registry_find(&node->registry, row->key) != NULL;
 	upstream = kwb_registry_put(&node->registry, &status);
 	if (upstream == NULL)
 		return;
-	if (!known || status.draining)
+	if (!is_known || status.draining)
 		kwb_log(KWB_LOG_INFO, "node",
 		    "event=upstream id=%s service=%s state=%s", status.id,
 		    status.service, status.draining ? "draining" : "ready");
-	kwb_weight_updater_on_upstream(&node->mover, upstream);
+	kwb_weight_updater_on_upstream(&node->weight_updater, upstream);
 	kwb_batches_dispatch(&node->batches);
 }
 
 static void
-sweep_gone(struct kwb_node *node)
+remove_absent_upstreams(struct kwb_node *node)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint32_t i;
@@ -146,45 +146,46 @@
 node_is_ready(const struct kwb_node *node)
 {
 	return node->stop_deadline_ns == 0 && node->config != NULL &&
-	    node->upstream_rows.synced && node->batches.follower.synced &&
+	    node->upstream_follower.synced && node->batches.follower.synced &&
 	    kwb_clock_now_ns() - node->store->last_answer_ns <
-	    KWB_READY_STORE_NS;
+	    KWB_READY_STORE_AGE_NS;
 }
 
 static bool
-may_end(const struct kwb_node *node, uint64_t now_ns)
+can_finish_stop(const struct kwb_node *node, uint64_t now_ns)
 {
 	if (now_ns >= node->stop_deadline_ns)
 		return true;
-	return now_ns - node->stop_begin_ns >= KWB_STOP_LEAST_NS &&
-	    node->callers_busy == 0 && kwb_batches_is_idle(&node->batches);
+	return now_ns - node->stop_started_ns >= KWB_STOP_MIN_NS &&
+	    node->busy_callers_count == 0 &&
+	    kwb_batches_is_idle(&node->batches);
 }
 
 static void
-node_time(int fd, short what, void *context)
+node_on_timer(int fd, short what, void *context)
 {
 	struct kwb_node *node = context;
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	(void)fd;
 	(void)what;
-	sweep_gone(node);
+	remove_absent_upstreams(node);
 	node->batches.fleet_nodes = kwb_peers_estimate_nodes(&node->peers);
-	if (node->stop_deadline_ns != 0 && may_end(node, now_ns)) {
+	if (node->stop_deadline_ns != 0 && can_finish_stop(node, now_ns)) {
 		kwb_log(KWB_LOG_INFO, "node",
 		    "event=stopped after_ms=%llu busy=%u",
-		    (unsigned long long)((now_ns - node->stop_begin_ns) /
+		    (unsigned long long)((now_ns - node->stop_started_ns) /
 			KWB_MS_NS),
-		    node->callers_busy);
+		    node->busy_callers_count);
 		node->on_stopped(node->context);
 		return;
 	}
-	kwb_timer_at(node->timer, now_ns + KWB_NODE_TICK_NS);
+	kwb_timer_at(node->timer, now_ns + KWB_NODE_CHECK_NS);
 }
 
 /* A beat that the silent path has swallowed is due at once. */
 static void
-path_changed(void *context)
+detour_on_change(void *context)
 {
 	struct kwb_node *node = context;
 
@@ -198,28 +199,28 @@
 	int code;
 
 	code = caller_listen(
-	    node, &settings->listen, CALLER_FRONT, &node->listener);
+	    node, &settings->listen, CALLER_PORT_REQUESTS, &node->listener);
 	if (code == 0)
-		code = caller_listen(node, &settings->ready, CALLER_READY,
+		code = caller_listen(node, &settings->ready, CALLER_PORT_READY,
 		    &node->ready_listener);
 	if (code == 0 && settings->metrics.port != 0)
-		code = caller_listen(node, &settings->metrics, CALLER_METRICS,
-		    &node->metrics_listener);
+		code = caller_listen(node, &settings->metrics,
+		    CALLER_PORT_METRICS, &node->metrics_listener);
 	return code;
 }
 
 static int
-node_follow(struct kwb_node *node)
+node_init_components(struct kwb_node *node)
 {
 	int code;
 
 	code = kwb_batches_init(&node->batches, &node->batch_env);
 	if (code == 0)
 		code = kwb_weight_updater_init(
-		    &node->mover, &node->batch_env, &node->batches);
+		    &node->weight_updater, &node->batch_env, &node->batches);
 	if (code == 0)
 		code = kwb_store_watchdog_init(
-		    &node->store_watch, node->base, node->store);
+		    &node->store_watchdog, node->base, node->store);
 	if (code == 0)
 		code = kwb_relay_init(
 		    &node->relay, node->base, node->settings, node->store);
@@ -228,15 +229,15 @@
 		    &node->peers, node->base, node->settings, node->store);
 	if (code == 0)
 		code = kwb_detour_init(&node->detour, node->base, node->store,
-		    &node->peers, path_changed, node);
+		    &node->peers, detour_on_change, node);
 	if (code == 0)
-		code = kwb_follower_init(&node->operator_rows, node->base,
-		    node->store, node->documents->operator_table, operator_row,
-		    NULL, node);
+		code = kwb_follower_init(&node->operator_follower, node->base,
+		    node->store, node->documents->operator_table,
+		    operator_on_row, NULL, node);
 	if (code == 0)
-		code = kwb_follower_init(&node->upstream_rows, node->base,
-		    node->store, node->documents->upstream_table, upstream_row,
-		    NULL, node);
+		code = kwb_follower_init(&node->upstream_follower, node->base,
+		    node->store, node->documents->upstream_table,
+		    upstream_on_row, NULL, node);
 	return code;
 }
 
@@ -267,20 +268,20 @@
 	    .registry = &node->registry,
 	    .dialect = dialect,
 	    .failure_domain = settings->failure_domain,
-	    .prefixes = &node->parts};
+	    .prefixes = &node->prefixes};
 	node->batch_env = (struct kwb_batch_env){.base = base,
 	    .store = store,
 	    .forward = &node->forward,
 	    .config = (const struct kwb_node_config *const *)&node->config,
 	    .settings = settings,
 	    .incarnation = node->incarnation};
-	node->timer = kwb_timer_new(base, node_time, node);
+	node->timer = kwb_timer_new(base, node_on_timer, node);
 	if (node->timer == NULL)
 		return KWB_ERR_MEMORY;
-	kwb_timer_at(node->timer, kwb_clock_now_ns() + KWB_NODE_TICK_NS);
+	kwb_timer_at(node->timer, kwb_clock_now_ns() + KWB_NODE_CHECK_NS);
 	code = node_listen(node);
 	if (code == 0)
-		code = node_follow(node);
+		code = node_init_components(node);
 	kwb_log(KWB_LOG_INFO, "node",
 	    "event=start node=%s failure_domain=%s incarnation=%llu error=%s",
 	    settings->node, settings->failure_domain,
@@ -295,16 +296,16 @@
 
 	if (node->stop_deadline_ns != 0)
 		return;
-	node->stop_begin_ns = now_ns;
+	node->stop_started_ns = now_ns;
 	node->stop_deadline_ns = now_ns +
 	    (uint64_t)(node->settings->grace_ms > KWB_STOP_MARGIN_MS
 		    ? node->settings->grace_ms - KWB_STOP_MARGIN_MS
 		    : 0) *
 		KWB_MS_NS;
 	kwb_log(KWB_LOG_INFO, "node", "event=stopping busy=%u grace_ms=%u",
-	    node->callers_busy, node->settings->grace_ms);
+	    node->busy_callers_count, node->settings->grace_ms);
 	kwb_relay_stop(&node->relay);
-	kwb_weight_updater_step_down(&node->mover);
+	kwb_weight_updater_step_down(&node->weight_updater);
 	kwb_batches_hand_over(&node->batches);
 }
 
@@ -320,10 +321,10 @@
 	kwb_detour_finish(&node->detour);
 	kwb_peers_finish(&node->peers);
 	kwb_relay_finish(&node->relay);
-	kwb_store_watchdog_finish(&node->store_watch);
-	kwb_follower_finish(&node->operator_rows);
-	kwb_follower_finish(&node->upstream_rows);
-	kwb_weight_updater_finish(&node->mover);
+	kwb_store_watchdog_finish(&node->store_watchdog);
+	kwb_follower_finish(&node->operator_follower);
+	kwb_follower_finish(&node->upstream_follower);
+	kwb_weight_updater_finish(&node->weight_updater);
 	kwb_batches_finish(&node->batches);
 	event_free(node->timer);
 	kwb_client_finish(&node->client);
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -9,7 +9,7 @@
 #include "caller.h"
 
 static void
-forward_done(struct kwb_forward *forward)
+forward_on_done(struct kwb_forward *forward)
 {
 	struct kwb_caller *caller = forward->context;
 
@@ -23,40 +23,40 @@
 	switch (forward->outcome) {
 	case KWB_FORWARD_ANSWERED:
 		kwb_metric_add(KWB_METRIC_RAN, 1);
-		answer_upstream(caller, &forward->answer);
+		answer_from_upstream(caller, &forward->answer);
 		return;
 	case KWB_FORWARD_NOT_RUN:
 		kwb_metric_add(KWB_METRIC_NOT_RUN, 1);
-		answer_own(caller, 503, forward->reason);
+		answer_error(caller, 503, forward->reason);
 		return;
 	case KWB_FORWARD_TIMEOUT:
 		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
-		answer_own(caller, 504, forward->reason);
+		answer_error(caller, 504, forward->reason);
 		return;
 	case KWB_FORWARD_UNKNOWN:
 		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
-		answer_own(caller, 502, forward->reason);
+		answer_error(caller, 502, forward->reason);
 		return;
 	}
 }
 
 static void
-forward_head(struct kwb_forward *forward)
+forward_on_head(struct kwb_forward *forward)
 {
 	answer_stream_begin(forward->context, &forward->answer);
 }
 
 static void
-forward_data(struct kwb_forward *forward, struct kwb_buf *data)
+forward_on_data(struct kwb_forward *forward, struct kwb_buf *data)
 {
 	answer_stream_data(forward->context, data);
 }
 
 static uint64_t
-deadline_of(
+request_deadline_ns(
     const struct kwb_caller *caller, const struct kwb_route_entry *route)
 {
-	uint64_t deadline_ns = caller->begin_ns +
+	uint64_t deadline_ns = caller->started_ns +
 	    (route->timeout_ms ? route->timeout_ms : KWB_CALL_TIMEOUT_MS) *
 		KWB_MS_NS;
 
@@ -71,19 +71,19 @@
 {
 	struct kwb_message *message = &caller->conn.message;
 	struct kwb_forward *forward = calloc(1, sizeof(*forward));
-	bool streams = route->kind == KWB_ROUTE_STREAMING;
+	bool is_streaming = route->kind == KWB_ROUTE_STREAMING;
 
 	if (forward == NULL) {
-		answer_own(caller, 503, "out_of_memory");
+		answer_error(caller, 503, "out_of_memory");
 		return;
 	}
 	caller->forward = forward;
-	forward->on_done = forward_done;
-	forward->on_head = streams ? forward_head : NULL;
-	forward->on_data = streams ? forward_data : NULL;
+	forward->on_done = forward_on_done;
+	forward->on_head = is_streaming ? forward_on_head : NULL;
+	forward->on_data = is_streaming ? forward_on_data : NULL;
 	forward->context = caller;
 	forward->env = &caller->node->forward;
-	forward->deadline_ns = deadline_of(caller, route);
+	forward->deadline_ns = request_deadline_ns(caller, route);
 	forward->request = (struct kwb_upstream_request){
 	    .method = message->method,
 	    .target = kwb_message_target(message),
@@ -98,21 +98,22 @@
 	kwb_text_copy(forward->service, sizeof(forward->service),
 	    kwb_route_entry_pick_service(route, (uint64_t)random()));
 	forward->idempotent = route->kind == KWB_ROUTE_IDEMPOTENT ||
-	    (streams && route->resumable);
-	forward->resumes = streams && route->resumable;
+	    (is_streaming && route->resumable);
+	forward->resumes = is_streaming && route->resumable;
 	if (route->sticky && caller->call.prompt[0] != '\0')
 		forward->prompt = caller->call.prompt;
 	forward->max_attempts = route->max_attempts;
 	if (forward->max_attempts > KWB_FORWARD_ATTEMPTS_MAX)
 		forward->max_attempts = KWB_FORWARD_ATTEMPTS_MAX;
-	if (forward->idempotent && !streams && route->target_latency_ms > 0)
-		forward->hedge_ns =
-		    caller->begin_ns + route->target_latency_ms * KWB_MS_NS / 2;
+	if (forward->idempotent && !is_streaming &&
+	    route->target_latency_ms > 0)
+		forward->hedge_ns = caller->started_ns +
+		    route->target_latency_ms * KWB_MS_NS / 2;
 	kwb_forward_start(forward);
 }
 
 static void
-accept_done(struct kwb_batch_accept *accept)
+accept_on_done(struct kwb_batch_accept *accept)
 {
 	struct kwb_caller *caller = accept->context;
 
@@ -121,29 +122,29 @@
 		answer_body(caller, 202, "application/json", "{}", 2);
 		return;
 	case KWB_ACCEPT_REFUSED:
-		answer_own(caller, 503, accept->reason);
+		answer_error(caller, 503, accept->reason);
 		return;
 	case KWB_ACCEPT_UNKNOWN:
-		answer_own(caller, 504, accept->reason);
+		answer_error(caller, 504, accept->reason);
 		return;
 	case KWB_ACCEPT_INVALID:
-		answer_own(caller, 400, accept->reason);
+		answer_error(caller, 400, accept->reason);
 		return;
 	}
 }
 
 static void
-serve_accept(struct kwb_caller *caller)
+serve_submission(struct kwb_caller *caller)
 {
 	struct kwb_batch_accept *accept = calloc(1, sizeof(*accept));
 	struct kwb_message *message = &caller->conn.message;
 
 	if (accept == NULL) {
-		answer_own(caller, 503, "out_of_memory");
+		answer_error(caller, 503, "out_of_memory");
 		return;
 	}
 	caller->accept = accept;
-	accept->on_done = accept_done;
+	accept->on_done = accept_on_done;
 	accept->context = caller;
 	accept->batches = &caller->node->batches;
 	kwb_text_copy(
@@ -158,73 +159,74 @@
 }
 
 static void
-end_done(struct kwb_batch_end *end)
+end_on_done(struct kwb_batch_end *end)
 {
 	struct kwb_caller *caller = end->context;
 
 	if (end->error == 0)
 		answer_body(caller, 200, "application/json", "{}", 2);
 	else if (end->error == KWB_ERR_STORE_MISSING)
-		answer_own(caller, 404, "no_such_batch");
+		answer_error(caller, 404, "no_such_batch");
 	else
-		answer_own(caller, 503, kwb_error_name(end->error));
+		answer_error(caller, 503, kwb_error_name(end->error));
 }
 
 static void
-serve_end(struct kwb_caller *caller)
+serve_batch_end(struct kwb_caller *caller)
 {
 	struct kwb_batch_end *end = calloc(1, sizeof(*end));
 
 	if (end == NULL) {
-		answer_own(caller, 503, "out_of_memory");
+		answer_error(caller, 503, "out_of_memory");
 		return;
 	}
 	caller->end = end;
-	end->on_done = end_done;
+	end->on_done = end_on_done;
 	end->context = caller;
 	end->batches = &caller->node->batches;
-	end->deadline_ns = caller->begin_ns + KWB_END_TRY_MS * KWB_MS_NS;
+	end->deadline_ns =
+	    caller->started_ns + KWB_BATCH_END_TIMEOUT_MS * KWB_MS_NS;
 	kwb_text_copy(
 	    end->record.id, sizeof(end->record.id), caller->call.batch);
 	kwb_batch_end_start(end);
 }
 
 static void
-read_done(struct kwb_batch_read *read)
+read_on_done(struct kwb_batch_read *read)
 {
 	struct kwb_caller *caller = read->context;
-	bool is_body = read->item[0] != '\0';
+	bool is_item = read->item[0] != '\0';
 
 	if (read->error == 0)
 		answer_body(caller, 200,
-		    is_body ? "application/octet-stream" : "application/json",
+		    is_item ? "application/octet-stream" : "application/json",
 		    kwb_buf_text(&read->answer), read->answer.used_bytes);
 	else if (read->error == KWB_ERR_STORE_MISSING)
-		answer_own(caller, 404, "no_such_batch_or_item");
+		answer_error(caller, 404, "no_such_batch_or_item");
 	else
-		answer_own(caller, 503, kwb_error_name(read->error));
+		answer_error(caller, 503, kwb_error_name(read->error));
 }
 
 static void
-serve_read(struct kwb_caller *caller)
+serve_batch_read(struct kwb_caller *caller)
 {
 	struct kwb_batch_read *read = calloc(1, sizeof(*read));
 	uint32_t wait_ms = caller->call.wait_ms;
 
 	if (read == NULL) {
-		answer_own(caller, 503, "out_of_memory");
+		answer_error(caller, 503, "out_of_memory");
 		return;
 	}
-	if (wait_ms > KWB_READ_WAIT_MAX_MS)
-		wait_ms = KWB_READ_WAIT_MAX_MS;
+	if (wait_ms > KWB_BATCH_READ_WAIT_MAX_MS)
+		wait_ms = KWB_BATCH_READ_WAIT_MAX_MS;
 	caller->read = read;
-	read->on_done = read_done;
+	read->on_done = read_on_done;
 	read->context = caller;
 	read->batches = &caller->node->batches;
 	read->after = caller->call.after;
-	read->wait_deadline_ns = caller->begin_ns + wait_ms * KWB_MS_NS;
+	read->wait_deadline_ns = caller->started_ns + wait_ms * KWB_MS_NS;
 	read->deadline_ns =
-	    read->wait_deadline_ns + KWB_READ_TRY_MS * KWB_MS_NS;
+	    read->wait_deadline_ns + KWB_BATCH_READ_TIMEOUT_MS * KWB_MS_NS;
 	kwb_text_copy(read->batch, sizeof(read->batch), caller->call.batch);
 	if (caller->call.kind == KWB_CALL_ITEM)
 		kwb_text_copy(
@@ -233,7 +235,7 @@
 }
 
 static void
-serve_front(struct kwb_caller *caller)
+serve_call(struct kwb_caller *caller)
 {
 	struct kwb_message *message = &caller->conn.message;
 	const struct kwb_route_entry *route;
@@ -241,16 +243,16 @@
 	caller->node->dialect->read_call(message, &caller->call);
 	caller->route[0] = '\0';
 	if (caller->node->config == NULL) {
-		answer_own(caller, 503, "no_config_yet");
+		answer_error(caller, 503, "no_config_yet");
 		return;
 	}
 	switch (caller->call.kind) {
 	case KWB_CALL_RESULTS:
 	case KWB_CALL_ITEM:
-		serve_read(caller);
+		serve_batch_read(caller);
 		return;
 	case KWB_CALL_END:
-		serve_end(caller);
+		serve_batch_end(caller);
 		return;
 	case KWB_CALL_FORWARD:
 		break;
@@ -258,16 +260,16 @@
 	route = kwb_node_config_find_route(caller->node->config,
 	    caller->call.host, kwb_message_target(message));
 	if (route == NULL) {
-		answer_own(caller, 404, "no_route");
+		answer_error(caller, 404, "no_route");
 		return;
 	}
 	kwb_text_copy(caller->route, sizeof(caller->route), route->name);
 	if (route->kind == KWB_ROUTE_ROLLOUT) {
 		if (strcmp(message->method, "POST") == 0 &&
 		    caller->call.id[0] != '\0')
-			serve_accept(caller);
+			serve_submission(caller);
 		else
-			answer_own(caller, 400, "no_submission");
+			answer_error(caller, 400, "no_submission");
 		return;
 	}
 	serve_forward(caller, route);
@@ -286,19 +288,19 @@
 }
 
 void
-serve_message(struct kwb_caller *caller)
+caller_serve_request(struct kwb_caller *caller)
 {
 	switch (caller->port) {
-	case CALLER_FRONT:
-		serve_front(caller);
+	case CALLER_PORT_REQUESTS:
+		serve_call(caller);
 		return;
-	case CALLER_READY:
+	case CALLER_PORT_READY:
 		if (node_is_ready(caller->node))
 			answer_body(caller, 200, "text/plain", "ready\n", 6);
 		else
-			answer_own(caller, 503, "not_ready");
+			answer_error(caller, 503, "not_ready");
 		return;
-	case CALLER_METRICS:
+	case CALLER_PORT_METRICS:
 		serve_metrics(caller);
 		return;
 	}
--- a/src/node/settings.c
+++ b/src/node/settings.c
@@ -23,5 +23,5 @@
 	settings->row_max_bytes = ROW_MAX_BYTES;
 	settings->memory_mb = MEMORY_MB;
 	settings->processor_milli = PROCESSOR_MILLI;
-	settings->descriptors = DESCRIPTORS;
+	settings->fds_max = DESCRIPTORS;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -56,7 +56,7 @@
 		return;
 	}
 	if (store->last_failure_ns > store->last_answer_ns &&
-	    now_ns - store->last_answer_ns >= KWB_STORE_AWAY_NS)
+	    now_ns - store->last_answer_ns >= KWB_STORE_OUTAGE_NS)
 		store->recovered_ns = now_ns;
 	if (store->last_failure_ns > store->last_answer_ns)
 		kwb_log(KWB_LOG_INFO, "store",
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -427,8 +427,8 @@
 		return code;
 	return kwb_store_lease_init(&updater->lease, env->base, env->store,
 	    LEASE_NAME, env->settings->node,
-	    env->settings->lease_ms * KWB_MS_NS, env->settings->orders_fenced,
-	    lease_changed, updater);
+	    env->settings->lease_ms * KWB_MS_NS,
+	    env->settings->is_fencing_enforced, lease_changed, updater);
 }
 
 void
--- a/tests/platform/stage.c
+++ b/tests/platform/stage.c
@@ -140,7 +140,7 @@
 	node->settings.store = node->path.address;
 	if (!node->alone)
 		stage_free_address(&node->settings.peers);
-	node->settings.orders_fenced = true;
+	node->settings.is_fencing_enforced = true;
 	node->settings.grace_ms = 8000;
 	if (platform_store_init(
 		&node->store, node->stage->base, &node->settings.store) != 0 ||
