--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -183,11 +183,11 @@
 #define KWB_CALLER_HEAD_TIMEOUT_MS 3000	 /* where the config sets none */
 #define KWB_BATCH_END_TIMEOUT_MS 3000	/* with retries while the store fails */
 #define KWB_BATCH_READ_WAIT_MAX_MS 1000 /* a read may wait for a new result */
-#define KWB_BATCH_READ_TIMEOUT_MS 1500	/* after that wait, as for an end */
+#define KWB_BATCH_READ_TIMEOUT_MS 1500	/* likewise, after that wait */
 #define KWB_NODE_CHECK_NS (200 * KWB_MS_NS) /* between checks by the timer */
-/* A shorter outage of the store lets no entry of an upstream expire. */
+/* In an outage of the store this long, entries of upstreams may expire. */
 #define KWB_STORE_OUTAGE_NS (1000 * KWB_MS_NS)
-/* After an outage, upstreams put back their expired entries in this time. */
+/* An upstream whose entry is missing this long after an outage is removed. */
 #define KWB_UPSTREAM_RETURN_NS (2300 * KWB_MS_NS)
 /* A node is not ready when the store has not answered for so long. */
 #define KWB_READY_STORE_AGE_NS (5000 * KWB_MS_NS)
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -518,26 +518,32 @@
 /* ---- Settings of a node ---------------------------------------------------
  */
 
+/*
+ * What the platform tells a node about itself: its name, its addresses, and the
+ * limits and times that it has to keep.
+ */
 struct kwb_node_settings {
-	char node[KWB_NAME_MAX_BYTES];
+	char node[KWB_NAME_MAX_BYTES]; /* name of this node */
 	char failure_domain[KWB_NAME_MAX_BYTES];
-	struct kwb_address listen;  /* callers and trainers */
-	struct kwb_address ready;   /* the balancer's question */
-	struct kwb_address store;   /* of the platform */
-	struct kwb_address metrics; /* port 0 for none */
-	struct kwb_address peers;   /* other nodes; port 0 for none */
-	uint32_t memory_mb;
-	uint32_t processor_milli; /* thousandths of a core */
-	uint32_t fds_max;
-	uint32_t grace_ms;	  /* from SIGTERM to SIGKILL */
-	uint32_t lease_ms;	  /* between two holders of orders */
-	uint32_t batch_keep_ms;	  /* a result is readable for this long */
-	uint32_t row_max_bytes;	  /* largest value of a row */
-	bool is_fencing_enforced; /* upstreams check fencing tokens */
+	struct kwb_address listen;  /* for requests of callers and trainers */
+	struct kwb_address ready;   /* for the load balancer's checks */
+	struct kwb_address store;   /* of the platform's store */
+	struct kwb_address metrics; /* for reads of metrics; port 0 for none */
+	struct kwb_address peers;   /* for nodes to relay; port 0 for none */
+	uint32_t memory_mb;	    /* limit of the process; not used */
+	uint32_t processor_milli;   /* share of the CPU, 1000 for a core */
+	uint32_t fds_max;	    /* limit of open files; not used */
+	uint32_t grace_ms;	    /* from SIGTERM to SIGKILL */
+	/* Least time between the orders of two successive lease holders. */
+	uint32_t lease_ms;
+	uint32_t batch_keep_ms; /* results are readable for this long */
+	uint32_t row_max_bytes; /* largest value of a row of the store */
+	/* Upstreams refuse orders with an outdated fencing token. */
+	bool is_fencing_enforced;
 };
 
 void kwb_node_settings_init(
-    struct kwb_node_settings *settings); /* the defaults */
+    struct kwb_node_settings *settings); /* defaults; no name, no addresses */
 
 /* ---- Peers: a way round a cut path to the store -------------------------- */
 
@@ -1497,15 +1503,23 @@
 uint64_t kwb_weight_updater_announced(const struct kwb_weight_updater *updater,
     const char *model); /* newest version announced, 0 for none */
 
-/* ---- Node
- * ----------------------------------------------------------------------- */
+/* ---- Node -----------------------------------------------------------------
+ */
+
+/*
+ * A node takes requests of callers and submissions of trainers. It forwards a
+ * request to upstreams, runs the items of a batch there, and reads results from
+ * the store. The store also gives it the operator's config and the list of
+ * upstreams.
+ */
 
-struct kwb_caller;
+struct kwb_caller; /* a connection of a caller, and its request */
 TAILQ_HEAD(kwb_caller_list, kwb_caller);
 
+/* Not used. */
 struct kwb_gone_upstream {
 	char id[KWB_NAME_MAX_BYTES];
-	uint64_t deadline_ns; /* taken off the list then */
+	uint64_t deadline_ns; /* when it is removed */
 };
 
 struct kwb_node {
@@ -1514,39 +1528,49 @@
 	struct kwb_store *store;
 	const struct kwb_dialect *dialect;
 	const struct kwb_documents *documents;
-	struct kwb_client client;
-	struct kwb_registry registry;
-	struct kwb_forward_env forward;
-	struct kwb_prefix_map prefixes;
-	struct kwb_batch_env batch_env;
+	struct kwb_client client;	/* connections to upstreams */
+	struct kwb_registry registry;	/* upstreams listed in the store */
+	struct kwb_forward_env forward; /* what all forwards share */
+	struct kwb_prefix_map prefixes; /* of prompts read by upstreams */
+	struct kwb_batch_env batch_env; /* for batches and weight_updater */
 	struct kwb_batches batches;
 	struct kwb_weight_updater weight_updater;
 	struct kwb_store_watchdog store_watchdog;
 	struct kwb_relay relay;
 	struct kwb_peers peers;
 	struct kwb_detour detour;
+	/* Rows of the operator: the config and the versions of models. */
 	struct kwb_follower operator_follower;
-	struct kwb_follower upstream_follower;
-	struct kwb_node_config *config; /* newest, NULL before the first */
-	struct evconnlistener *listener;
+	struct kwb_follower upstream_follower; /* entries of upstreams */
+	struct kwb_node_config *config;	 /* newest, NULL before the first */
+	struct evconnlistener *listener; /* for requests */
 	struct evconnlistener *ready_listener;
-	struct evconnlistener *metrics_listener;
-	struct kwb_caller_list callers;
-	struct event *timer;
-	uint64_t incarnation;
-	uint64_t stop_deadline_ns; /* 0 while not stopping */
+	struct evconnlistener *metrics_listener; /* NULL for none */
+	struct kwb_caller_list callers;		 /* open connections */
+	struct event *timer;			 /* every KWB_NODE_CHECK_NS */
+	uint64_t incarnation;	   /* start in ms of the wall clock */
+	uint64_t stop_deadline_ns; /* of a stop; 0 while not stopping */
 	uint64_t stop_started_ns;
-	uint32_t busy_callers_count;
+	uint32_t busy_callers_count; /* with a request in progress */
 	void (*on_stopped)(void *context);
 	void *context;
 };
 
+/*
+ * Listens, starts to follow the store, and serves on the loop; returns 0 or a
+ * negative KWB_ERR_ number. What the pointers name has to outlive the node.
+ */
 int kwb_node_init(struct kwb_node *node, struct event_base *base,
     const struct kwb_node_settings *settings, struct kwb_store *store,
     const struct kwb_dialect *dialect, const struct kwb_documents *documents,
-    void (*on_stopped)(void *context),
-    void *context);			     /* begins to serve on the loop */
-void kwb_node_stop(struct kwb_node *node);   /* graceful; on_stopped follows */
-void kwb_node_finish(struct kwb_node *node); /* closes everything */
+    void (*on_stopped)(void *context), void *context);
+/*
+ * Starts a graceful stop: the node is not ready from now on, hands its batches
+ * over to other nodes and still answers callers. on_stopped is called when all
+ * is done, KWB_STOP_MARGIN_MS before the end of grace_ms at the latest.
+ */
+void kwb_node_stop(struct kwb_node *node);
+/* Closes and frees everything; only after kwb_node_init() has returned 0. */
+void kwb_node_finish(struct kwb_node *node);
 
 #endif
--- a/src/node/answer.c
+++ b/src/node/answer.c
@@ -1,6 +1,6 @@
 /*
- * Answers to callers: an upstream's, passed on unchanged but for what concerns
- * one connection, or the node's own.
+ * Writes answers to callers: an upstream's, passed on without its hop-by-hop
+ * headers, or one of the node itself.
  */
 #include <event2/buffer.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 #include "caller.h"
 
-/* Headers that concern one connection. */
+/* Headers that apply to one connection only; they are not passed on. */
 static const char *const hop_by_hop_headers[] = {"Connection", "Keep-Alive",
     "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade",
     "Content-Length"};
@@ -27,6 +27,7 @@
 	return false;
 }
 
+/* The status line, and "Connection: close" if it closes after the answer. */
 static void
 write_status_line(struct kwb_caller *caller, uint16_t status)
 {
@@ -40,6 +41,7 @@
 		evbuffer_add_printf(out, "Connection: close\r\n");
 }
 
+/* Logs the answer to a request and counts its time in the histogram. */
 static void
 record_answer(const struct kwb_caller *caller, uint16_t status,
     const char *reason, const char *upstream)
@@ -76,14 +78,14 @@
 	caller_finish_request(caller);
 }
 
-/* When to come back, in seconds, by what stands in the way. */
+/* Seconds until a caller should retry; NULL where a retry would not help. */
 static const char *
 retry_after(const struct kwb_node *node, uint16_t status)
 {
 	if (status != 503 && status != 429)
 		return NULL;
 	if (node->stop_deadline_ns != 0)
-		return "0.05"; /* another node takes it */
+		return "0.05"; /* another node will serve it */
 	return node->config == NULL ? "0.5" : "0.2";
 }
 
@@ -127,12 +129,14 @@
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 	bool is_head = strcmp(caller->conn.message.method, "HEAD") == 0;
-	const char *length = kwb_message_header(answer, "Content-Length");
+	const char *content_length =
+	    kwb_message_header(answer, "Content-Length");
 
 	write_status_line(caller, answer->status);
 	write_headers(caller, answer);
-	if (is_head && length != NULL)
-		evbuffer_add_printf(out, "Content-Length: %s\r\n", length);
+	if (is_head && content_length != NULL)
+		evbuffer_add_printf(
+		    out, "Content-Length: %s\r\n", content_length);
 	else if (answer->status != 204 && answer->status != 304)
 		evbuffer_add_printf(
 		    out, "Content-Length: %zu\r\n", answer->body.used_bytes);
--- a/src/node/caller.c
+++ b/src/node/caller.c
@@ -1,6 +1,6 @@
 /*
- * Connections of callers: they are kept as long as the operator's idle time
- * says, and a caller that leaves ends its request.
+ * Connections of callers. An idle one is closed after the operator's idle
+ * timeout, and a request is cancelled when its caller closes the connection.
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -12,6 +12,7 @@
 
 #include "caller.h"
 
+/* Cancels and frees the operations that serve the request. */
 static void
 request_free(struct kwb_caller *caller)
 {
@@ -53,6 +54,7 @@
 	return (idle_ms ? idle_ms : KWB_CALLER_IDLE_TIMEOUT_MS) * KWB_MS_NS;
 }
 
+/* Arms it for the header timeout, or for the idle deadline if earlier. */
 static void
 caller_arm_timer(struct kwb_caller *caller)
 {
@@ -97,8 +99,9 @@
 }
 
 /*
- * A head has to come whole in the operator's time for heads; a body may take
- * longer, as long as something comes within the time for idle connections.
+ * A head has to be complete within the operator's header timeout. A body may
+ * take longer, as long as some of it arrives within each idle timeout. Else the
+ * answer is 408. An idle connection is closed.
  */
 static void
 caller_on_timer(int fd, short what, void *context)
@@ -135,7 +138,7 @@
 	caller_arm_timer(caller);
 }
 
-/* A caller may wait for a sign before it sends its body. */
+/* A caller that sent "Expect: 100-continue" waits before it sends its body. */
 static void
 caller_on_head(struct kwb_conn *conn)
 {
@@ -187,6 +190,7 @@
     .on_close = caller_on_close,
 };
 
+/* Takes ownership of fd, and closes it on failure. */
 static void
 caller_new(struct kwb_node *node, int fd, enum caller_port port)
 {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,6 +1,7 @@
 /*
- * A node: follows the operator's config, the named versions and the upstreams,
- * answers whether it is ready, and stops without cutting a request.
+ * Start, state and stop of a node. It follows rows of the store: the operator's
+ * config, the versions of models that trainers announce, and the entries of
+ * upstreams. A stop lets the requests in progress end.
  */
 #include <event2/event.h>
 #include <event2/listener.h>
@@ -9,6 +10,7 @@
 
 #include "caller.h"
 
+/* A config that is invalid or not newer changes nothing. */
 static void
 apply_config_row(struct kwb_node *node, const struct kwb_row *row)
 {
@@ -72,8 +74,9 @@
 }
 
 /*
- * Entries that lapsed while the store was away come back soon after it; only
- * what is missing after that is taken as gone.
+ * Entries expire in an outage of the store, and upstreams that still run write
+ * them again soon after it. So an upstream is removed only if its entry is
+ * still missing KWB_UPSTREAM_RETURN_NS after the outage.
  */
 static void
 remove_upstream(struct kwb_node *node, const char *id)
@@ -123,6 +126,7 @@
 	kwb_batches_dispatch(&node->batches);
 }
 
+/* Removes those whose entries have not come back in time after an outage. */
 static void
 remove_absent_upstreams(struct kwb_node *node)
 {
@@ -151,6 +155,7 @@
 	    KWB_READY_STORE_AGE_NS;
 }
 
+/* At the deadline, or earlier when no request and no batch is left. */
 static bool
 can_finish_stop(const struct kwb_node *node, uint64_t now_ns)
 {
@@ -183,7 +188,7 @@
 	kwb_timer_at(node->timer, now_ns + KWB_NODE_CHECK_NS);
 }
 
-/* A beat that the silent path has swallowed is due at once. */
+/* A heartbeat may have been lost on the silent path: sends one at once. */
 static void
 detour_on_change(void *context)
 {
@@ -209,6 +214,7 @@
 	return code;
 }
 
+/* Starts the parts that use the store, and the followers of its tables. */
 static int
 node_init_components(struct kwb_node *node)
 {
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -1,6 +1,7 @@
 /*
- * A caller's request: found by its route, then forwarded, or taken as a batch,
- * or answered from the store.
+ * Serves a caller's request. Reads of results and ends of batches are served
+ * from the store. Other requests go by their route: forwarded to an upstream,
+ * or accepted as the submission of a batch.
  */
 #include <event2/buffer.h>
 #include <stdlib.h>
@@ -17,7 +18,7 @@
 		if (forward->outcome == KWB_FORWARD_ANSWERED)
 			answer_stream_end(caller);
 		else
-			caller_free(caller); /* must not look whole */
+			caller_free(caller); /* must look cut off */
 		return;
 	}
 	switch (forward->outcome) {
@@ -52,6 +53,7 @@
 	answer_stream_data(forward->context, data);
 }
 
+/* The route's timeout, or the caller's deadline if that is earlier. */
 static uint64_t
 request_deadline_ns(
     const struct kwb_caller *caller, const struct kwb_route_entry *route)
--- a/src/node/settings.c
+++ b/src/node/settings.c
@@ -1,5 +1,5 @@
 /*
- * Defaults of a node's settings, for what its platform does not say.
+ * Defaults of a node's settings, for those that the platform does not give.
  */
 #include <string.h>
 
@@ -10,8 +10,8 @@
 #define BATCH_KEEP_MS 120000
 #define ROW_MAX_BYTES 65536
 #define MEMORY_MB 256
-#define PROCESSOR_MILLI 1000 /* a core, where the platform tells no share */
-#define DESCRIPTORS 4096
+#define PROCESSOR_MILLI 1000 /* one core */
+#define FDS_MAX 4096
 
 void
 kwb_node_settings_init(struct kwb_node_settings *settings)
@@ -23,5 +23,5 @@
 	settings->row_max_bytes = ROW_MAX_BYTES;
 	settings->memory_mb = MEMORY_MB;
 	settings->processor_milli = PROCESSOR_MILLI;
-	settings->fds_max = DESCRIPTORS;
+	settings->fds_max = FDS_MAX;
 }
