--- a/src/node/answer.c
+++ b/src/node/answer.c
@@ -1,6 +1,6 @@
 /*
- * Answers to callers: an upstream's, passed on unchanged but for what concerns
- * one connection, or the node's own.
+ * Writes answers to callers: an upstream's, passed on without its hop-by-hop
+ * headers, or one of the node itself.
  */
 #include <event2/buffer.h>
 #include <stdio.h>
@@ -9,24 +9,27 @@
 
 #include "caller.h"
 
-/* Headers that concern one connection. */
-static const char *const hop_headers[] = {"Connection", "Keep-Alive",
+/* Headers that apply to one connection only; they are not passed on. */
+static const char *const hop_by_hop_headers[] = {"Connection", "Keep-Alive",
     "Proxy-Connection", "Transfer-Encoding", "TE", "Trailer", "Upgrade",
     "Content-Length"};
 
 static bool
-is_hop(const char *name)
+is_hop_by_hop(const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < sizeof(hop_headers) / sizeof(hop_headers[0]); i++)
-		if (strcasecmp(hop_headers[i], name) == 0)
+	for (i = 0;
+	     i < sizeof(hop_by_hop_headers) / sizeof(hop_by_hop_headers[0]);
+	     i++)
+		if (strcasecmp(hop_by_hop_headers[i], name) == 0)
 			return true;
 	return false;
 }
 
+/* The status line, and "Connection: close" if it closes after the answer. */
 static void
-write_status(struct kwb_caller *caller, uint16_t status)
+write_status_line(struct kwb_caller *caller, uint16_t status)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
@@ -38,15 +41,16 @@
 		evbuffer_add_printf(out, "Connection: close\r\n");
 }
 
+/* Logs the answer to a request and counts its time in the histogram. */
 static void
-log_answer(const struct kwb_caller *caller, uint16_t status, const char *reason,
-    const char *upstream)
+record_answer(const struct kwb_caller *caller, uint16_t status,
+    const char *reason, const char *upstream)
 {
-	uint64_t taken_ns = kwb_clock_now_ns() - caller->begin_ns;
+	uint64_t elapsed_ns = kwb_clock_now_ns() - caller->started_ns;
 
-	if (caller->port != CALLER_FRONT)
+	if (caller->port != CALLER_PORT_REQUESTS)
 		return;
-	kwb_histogram_add(KWB_HISTOGRAM_CALLER, taken_ns);
+	kwb_histogram_add(KWB_HISTOGRAM_CALLER, elapsed_ns);
 	kwb_log(KWB_LOG_INFO, "caller",
 	    "event=answered id=%s batch=%s route=%s status=%u reason=%s "
 	    "upstream=%s config=%llu taken_ms=%llu",
@@ -56,7 +60,7 @@
 	    (unsigned long long)(caller->node->config
 		    ? caller->node->config->version
 		    : 0),
-	    (unsigned long long)(taken_ns / KWB_MS_NS));
+	    (unsigned long long)(elapsed_ns / KWB_MS_NS));
 }
 
 void
@@ -65,28 +69,28 @@
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
-	write_status(caller, status);
+	write_status_line(caller, status);
 	evbuffer_add_printf(out,
 	    "Content-Type: %s\r\nContent-Length: %zu\r\n\r\n", type,
 	    body_bytes);
 	evbuffer_add(out, body, body_bytes);
-	log_answer(caller, status, "own", "-");
-	caller_done(caller);
+	record_answer(caller, status, "own", "-");
+	caller_finish_request(caller);
 }
 
-/* When to come back, in seconds, by what stands in the way. */
+/* Seconds until a caller should retry; NULL where a retry would not help. */
 static const char *
 retry_after(const struct kwb_node *node, uint16_t status)
 {
 	if (status != 503 && status != 429)
 		return NULL;
 	if (node->stop_deadline_ns != 0)
-		return "0.05"; /* another node takes it */
+		return "0.05"; /* another node will serve it */
 	return node->config == NULL ? "0.5" : "0.2";
 }
 
 void
-answer_own(struct kwb_caller *caller, uint16_t status, const char *reason)
+answer_error(struct kwb_caller *caller, uint16_t status, const char *reason)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 	const char *after = retry_after(caller->node, status);
@@ -94,7 +98,7 @@
 	int length =
 	    snprintf(body, sizeof(body), "{\"error\":\"%.63s\"}", reason);
 
-	write_status(caller, status);
+	write_status_line(caller, status);
 	if (after != NULL)
 		evbuffer_add_printf(out, "Retry-After: %s\r\n", after);
 	evbuffer_add_printf(out,
@@ -102,8 +106,8 @@
 	    length);
 	if (strcmp(caller->conn.message.method, "HEAD") != 0)
 		evbuffer_add(out, body, (size_t)length);
-	log_answer(caller, status, reason, "-");
-	caller_done(caller);
+	record_answer(caller, status, reason, "-");
+	caller_finish_request(caller);
 }
 
 static void
@@ -113,31 +117,34 @@
 	uint32_t i;
 
 	for (i = 0; i < answer->headers_count; i++)
-		if (!is_hop(kwb_message_header_name(answer, i)))
+		if (!is_hop_by_hop(kwb_message_header_name(answer, i)))
 			evbuffer_add_printf(out, "%s: %s\r\n",
 			    kwb_message_header_name(answer, i),
 			    kwb_message_header_value(answer, i));
 }
 
 void
-answer_upstream(struct kwb_caller *caller, const struct kwb_message *answer)
+answer_from_upstream(
+    struct kwb_caller *caller, const struct kwb_message *answer)
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
-	bool head = strcmp(caller->conn.message.method, "HEAD") == 0;
-	const char *length = kwb_message_header(answer, "Content-Length");
+	bool is_head = strcmp(caller->conn.message.method, "HEAD") == 0;
+	const char *content_length =
+	    kwb_message_header(answer, "Content-Length");
 
-	write_status(caller, answer->status);
+	write_status_line(caller, answer->status);
 	write_headers(caller, answer);
-	if (head && length != NULL)
-		evbuffer_add_printf(out, "Content-Length: %s\r\n", length);
+	if (is_head && content_length != NULL)
+		evbuffer_add_printf(
+		    out, "Content-Length: %s\r\n", content_length);
 	else if (answer->status != 204 && answer->status != 304)
 		evbuffer_add_printf(
 		    out, "Content-Length: %zu\r\n", answer->body.used_bytes);
 	evbuffer_add(out, "\r\n", 2);
 	evbuffer_add(out, answer->body.data, answer->body.used_bytes);
-	log_answer(
+	record_answer(
 	    caller, answer->status, "upstream", caller->forward->upstream_id);
-	caller_done(caller);
+	caller_finish_request(caller);
 }
 
 void
@@ -145,10 +152,10 @@
 {
 	struct evbuffer *out = kwb_conn_output(&caller->conn);
 
-	write_status(caller, answer->status);
+	write_status_line(caller, answer->status);
 	write_headers(caller, answer);
 	evbuffer_add_printf(out, "Transfer-Encoding: chunked\r\n\r\n");
-	log_answer(caller, answer->status, "stream_begins",
+	record_answer(caller, answer->status, "stream_begins",
 	    caller->forward->upstream_id);
 }
 
@@ -167,6 +174,7 @@
 answer_stream_end(struct kwb_caller *caller)
 {
 	evbuffer_add(kwb_conn_output(&caller->conn), "0\r\n\r\n", 5);
-	log_answer(caller, 200, "stream_whole", caller->forward->upstream_id);
-	caller_done(caller);
+	record_answer(
+	    caller, 200, "stream_whole", caller->forward->upstream_id);
+	caller_finish_request(caller);
 }
