--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -8,11 +8,11 @@
 
 #include "agent.h"
 
-#define WATCH_NS (100 * KWB_MS_NS)
-#define LEAVE_NOTICE_NS (1000 * KWB_MS_NS)
-#define LOAD_WATCHES (KWB_HEARTBEAT_NS / WATCH_NS)
-#define STATUS_NS (150 * KWB_MS_NS)
-#define LISTED_NS (3 * KWB_HEARTBEAT_NS)
+#define MONITOR_PERIOD_NS (100 * KWB_MS_NS)
+#define LEAVING_MIN_NS (1000 * KWB_MS_NS)
+#define LOAD_HISTORY_COUNT (KWB_HEARTBEAT_NS / MONITOR_PERIOD_NS)
+#define STATUS_REPEAT_NS (150 * KWB_MS_NS)
+#define LISTED_LEAVING_TTL_NS (3 * KWB_HEARTBEAT_NS)
 
 /* A status message and the memory it points into. */
 struct status_message {
@@ -30,12 +30,12 @@
     void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame);
 static void on_close(void *context, uint64_t link, uint32_t tag);
 static void on_heartbeat(void *context, uint64_t link, uint32_t tag);
-static void on_lists(const Kwb__Wire__Lists *lists);
+static void update_lists(const Kwb__Wire__Lists *lists);
 static void status_fill(
     struct kwb_agent *agent, struct status_message *message);
-static void leaving_update(struct kwb_agent *agent);
+static void update_leaving(struct kwb_agent *agent);
 static uint64_t status_digest(struct kwb_agent *agent, uint64_t *load);
-static void *watch_run(void *argument);
+static void *monitor_run(void *argument);
 
 static const struct kwb_link_ops link_ops = {
     .on_open = on_open,
@@ -68,9 +68,9 @@
 	if (error == 0)
 		error = kwb_loop_listen(&agent->loop, &address);
 	if (error == 0)
-		error = run_start(agent);
+		error = workers_start(agent);
 	if (error == 0 &&
-	    (pthread_create(&agent->watch_thread, NULL, watch_run, agent) ||
+	    (pthread_create(&agent->monitor_thread, NULL, monitor_run, agent) ||
 		pthread_create(&agent->order_thread, NULL, order_run, agent) ||
 		pthread_create(&agent->share_thread, NULL, share_run, agent)))
 		error = KWB_ERR_SYSTEM;
@@ -97,16 +97,17 @@
 {
 	uint64_t deadline_ns =
 	    kwb_clock_now_ns() + agent->settings->drain_ms * KWB_MS_NS;
-	uint64_t notice_ns = kwb_clock_now_ns() + LEAVE_NOTICE_NS;
+	uint64_t leaving_min_ns = kwb_clock_now_ns() + LEAVING_MIN_NS;
 
-	atomic_store(&agent->ending, true);
+	atomic_store(&agent->is_draining, true);
 	while (kwb_clock_now_ns() < deadline_ns &&
-	    (run_busy(agent) > 0 || kwb_clock_now_ns() < notice_ns))
-		kwb_clock_sleep_ns(WATCH_NS / 4);
+	    (queue_count_jobs(agent) > 0 ||
+		kwb_clock_now_ns() < leaving_min_ns))
+		kwb_clock_sleep_ns(MONITOR_PERIOD_NS / 4);
 	atomic_store(&agent->stopping, true);
 	agent_http_stop(agent);
-	run_stop(agent);
-	pthread_join(agent->watch_thread, NULL);
+	workers_stop(agent);
+	pthread_join(agent->monitor_thread, NULL);
 	pthread_join(agent->order_thread, NULL);
 	pthread_join(agent->share_thread, NULL);
 	share_leave(agent);
@@ -117,10 +118,10 @@
 }
 
 bool
-agent_leaving(struct kwb_agent *agent)
+agent_is_leaving(struct kwb_agent *agent)
 {
-	return atomic_load(&agent->ending) ||
-	    kwb_clock_now_ns() < atomic_load(&agent->listed_ns);
+	return atomic_load(&agent->is_draining) ||
+	    kwb_clock_now_ns() < atomic_load(&agent->listed_leaving_until_ns);
 }
 
 static void
@@ -166,7 +167,7 @@
 		handle_find(agent, link, frame->find);
 		break;
 	case KWB__WIRE__FRAME__BODY_LISTS:
-		on_lists(frame->lists);
+		update_lists(frame->lists);
 		on_heartbeat(agent, link, 0);
 		break;
 	case KWB__WIRE__FRAME__BODY_HELLO:
@@ -177,8 +178,8 @@
 		kwb_link_pace(&agent->loop, link,
 		    frame->heartbeat->period_ms * KWB_MS_NS);
 		if (frame->heartbeat->listed_leaving)
-			atomic_store(
-			    &agent->listed_ns, kwb_clock_now_ns() + LISTED_NS);
+			atomic_store(&agent->listed_leaving_until_ns,
+			    kwb_clock_now_ns() + LISTED_LEAVING_TTL_NS);
 		break;
 	default:
 		break;
@@ -204,9 +205,10 @@
 	(void)tag;
 	heartbeat.lists_revision = kwb_current_lists_revision();
 	/* Mostly a sign of life; the status now and then, and on changes. */
-	if (kwb_clock_now_ns() < atomic_load(&agent->status_ns) ||
-	    atomic_load(&agent->load_changed) ||
-	    atomic_fetch_add(&agent->beats, 1) % KWB_STATUS_BEATS == 0) {
+	if (kwb_clock_now_ns() < atomic_load(&agent->status_until_ns) ||
+	    atomic_load(&agent->has_load_changed) ||
+	    atomic_fetch_add(&agent->heartbeats_sent, 1) % KWB_STATUS_BEATS ==
+		0) {
 		status_fill(agent, &message);
 		heartbeat.status = &message.status;
 	}
@@ -214,7 +216,7 @@
 }
 
 static void
-on_lists(const Kwb__Wire__Lists *lists)
+update_lists(const Kwb__Wire__Lists *lists)
 {
 	kwb_current_lists_update((const char *)lists->document.data,
 	    lists->document.len, lists->revision);
@@ -224,10 +226,10 @@
 status_fill(struct kwb_agent *agent, struct status_message *message)
 {
 	Kwb__Wire__Status *status = &message->status;
-	unsigned i, agent_plans;
+	unsigned i, plans_count;
 
 	kwb__wire__status__init(status);
-	status->leaving = agent_leaving(agent);
+	status->leaving = agent_is_leaving(agent);
 	status->slots = agent->settings->slots;
 	pthread_mutex_lock(&agent->upstream.lock);
 	status->upstream_up = agent->upstream.up;
@@ -238,7 +240,7 @@
 	pthread_mutex_lock(&agent->queue.lock);
 	status->running = agent->queue.running_count;
 	status->waiting = agent->queue.waiting_count;
-	agent_plans = agent->queue.plans_count;
+	plans_count = agent->queue.plans_count;
 	memcpy(message->plans, agent->queue.plans, sizeof(message->plans));
 	pthread_mutex_unlock(&agent->queue.lock);
 	for (i = 0; i < status->n_versions; i++) {
@@ -248,7 +250,7 @@
 		message->versions[i].swapping = message->models[i].swapping;
 		message->version_pointers[i] = &message->versions[i];
 	}
-	for (i = 0; i < agent_plans; i++) {
+	for (i = 0; i < plans_count; i++) {
 		Kwb__Wire__PlanUse *use = &message->uses[status->n_plans];
 
 		/* What is not in a status holds nothing here. */
@@ -267,15 +269,16 @@
 
 /* Notes when leaving begins and ends, by a stop or by the platform's list. */
 static void
-leaving_update(struct kwb_agent *agent)
+update_leaving(struct kwb_agent *agent)
 {
-	bool now = agent_leaving(agent);
+	bool is_leaving = agent_is_leaving(agent);
 
-	if (now == (atomic_load(&agent->leaving_ns) != 0))
+	if (is_leaving == (atomic_load(&agent->leaving_since_ns) != 0))
 		return;
-	atomic_store(&agent->leaving_ns, now ? kwb_clock_now_ns() : 0);
-	kwb_log(KWB_LOG_INFO, "agent", "event=leaving now=%d ending=%d", now,
-	    atomic_load(&agent->ending));
+	atomic_store(
+	    &agent->leaving_since_ns, is_leaving ? kwb_clock_now_ns() : 0);
+	kwb_log(KWB_LOG_INFO, "agent", "event=leaving now=%d ending=%d",
+	    is_leaving, atomic_load(&agent->is_draining));
 }
 
 /* A digest of what entries should hear of at once, and one of the load. */
@@ -301,29 +304,30 @@
 
 /* Reads the upstream and tidies the journal. */
 static void *
-watch_run(void *argument)
+monitor_run(void *argument)
 {
 	struct kwb_agent *agent = argument;
 
-	uint64_t digest, last_digest = 0, load, last_load[LOAD_WATCHES] = {0};
-	unsigned watch = 0;
+	uint64_t digest, last_digest = 0, load,
+			 load_history[LOAD_HISTORY_COUNT] = {0};
+	unsigned period = 0;
 
 	while (!atomic_load(&agent->stopping)) {
-		upstream_watch(agent);
-		handle_expired(agent);
-		leaving_update(agent);
+		upstream_poll(agent);
+		jobs_expire(agent);
+		update_leaving(agent);
 		digest = status_digest(agent, &load);
 		/* Against the load of a heartbeat ago. */
-		atomic_store(&agent->load_changed,
-		    load != last_load[watch % LOAD_WATCHES]);
-		last_load[watch++ % LOAD_WATCHES] = load;
+		atomic_store(&agent->has_load_changed,
+		    load != load_history[period % LOAD_HISTORY_COUNT]);
+		load_history[period++ % LOAD_HISTORY_COUNT] = load;
 		if (digest != last_digest) {
-			atomic_store(
-			    &agent->status_ns, kwb_clock_now_ns() + STATUS_NS);
+			atomic_store(&agent->status_until_ns,
+			    kwb_clock_now_ns() + STATUS_REPEAT_NS);
 			kwb_loop_beat(&agent->loop);
 		}
 		last_digest = digest;
-		kwb_clock_sleep_ns(WATCH_NS);
+		kwb_clock_sleep_ns(MONITOR_PERIOD_NS);
 	}
 	return NULL;
 }
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -33,11 +33,13 @@
 	uint32_t attempt;	 /* of a sample, the highest that asked */
 	uint64_t deadline_ns;
 	uint64_t slack_deadline_ns;
-	uint64_t wait_ns; /* deadline for a start, then it is refused */
-	bool waited_out;
-	uint64_t forget_ns;   /* deadline for keeping a finished job */
-	uint64_t orphan_ns;   /* deadline to be adopted; 0 when attached */
-	uint64_t progress_ns; /* next time for progress */
+	uint64_t
+	    start_deadline_ns; /* deadline for a start, then it is refused */
+	bool is_wait_over;
+	uint64_t retained_until_ns; /* deadline for keeping a finished job */
+	uint64_t
+	    orphan_deadline_ns;	   /* deadline to be adopted; 0 when attached */
+	uint64_t next_progress_ns; /* next time for progress */
 	_Atomic bool cancelled;
 	struct kwb_tokens tokens;
 	enum kwb_outcome outcome;
@@ -45,8 +47,8 @@
 	uint32_t status;
 	char content_type[KWB_NAME_MAX_BYTES];
 	struct kwb_buf body;
-	size_t kept_bytes;
-	unsigned attached;
+	size_t retained_bytes;
+	unsigned attachments_count;
 	struct attachment attachments[KWB_JOB_ATTACHMENTS_MAX];
 };
 
@@ -67,7 +69,7 @@
 struct journal {
 	struct journal_shard shards[KWB_SHARDS];
 	_Atomic uint32_t count;
-	_Atomic size_t kept_bytes;
+	_Atomic size_t retained_bytes;
 	pthread_mutex_t fences_lock;
 	struct step_fence fences[KWB_PLANS_MAX];
 };
@@ -86,7 +88,8 @@
 	struct job_list waiting;
 	uint32_t waiting_count;
 	uint32_t running_count;
-	uint32_t ending_count; /* of them, broken off, perhaps still running */
+	uint32_t
+	    lingering_count; /* of them, broken off, perhaps still running */
 	bool stopping;
 	struct plan_use plans[KWB_PLANS_MAX];
 	unsigned plans_count;
@@ -102,7 +105,7 @@
 	pthread_mutex_t lock;
 	bool up;
 	uint32_t running; /* as the upstream reports it */
-	unsigned failures;
+	unsigned failures_in_row;
 	unsigned models_count;
 	struct model_state models[KWB_MODELS_MAX];
 };
@@ -140,14 +143,16 @@
 	struct run_queue queue;
 	struct upstream_state upstream;
 	struct orders orders;
-	_Atomic bool ending;	     /* a planned stop began */
-	_Atomic uint64_t leaving_ns; /* when leaving began; 0 when not */
-	_Atomic uint64_t listed_ns;  /* deadline of "listed as leaving" */
-	_Atomic uint64_t status_ns;  /* status goes out with beats until then */
-	_Atomic bool load_changed;
-	_Atomic uint32_t beats;
+	_Atomic bool is_draining;	   /* a planned stop began */
+	_Atomic uint64_t leaving_since_ns; /* when leaving began; 0 when not */
+	_Atomic uint64_t
+	    listed_leaving_until_ns; /* deadline of "listed as leaving" */
+	_Atomic uint64_t
+	    status_until_ns; /* status goes out with beats until then */
+	_Atomic bool has_load_changed;
+	_Atomic uint32_t heartbeats_sent;
 	_Atomic bool stopping;
-	pthread_t watch_thread;
+	pthread_t monitor_thread;
 	pthread_t order_thread;
 	pthread_t share_thread;
 	pthread_t *workers;
@@ -176,7 +181,7 @@
 bool job_is_sample(const struct job *job);
 
 /* agent.c */
-bool agent_leaving(struct kwb_agent *agent);
+bool agent_is_leaving(struct kwb_agent *agent);
 
 /* handle.c: frames from entries */
 void handle_run(
@@ -188,26 +193,26 @@
 void handle_find(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Find *find);
 void handle_link_closed(struct kwb_agent *agent, uint64_t link);
-void handle_expired(struct kwb_agent *agent);
+void jobs_expire(struct kwb_agent *agent);
 void job_send_progress(struct kwb_agent *agent, struct job *job);
 void job_send_done(struct kwb_agent *agent, struct job *job);
 
 /* run.c: queue and workers */
-int run_start(struct kwb_agent *agent);
-void run_stop(struct kwb_agent *agent);
-int run_admit(struct kwb_agent *agent, const Kwb__Wire__Run *run);
-void run_enqueue(struct kwb_agent *agent, struct job *job);
-uint32_t run_busy(struct kwb_agent *agent);
-uint32_t run_accounted(struct kwb_agent *agent); /* running, not ending */
-void run_set_units(struct kwb_agent *agent, const char *plan, uint32_t units);
-uint32_t run_plan_running(struct kwb_agent *agent, const char *plan);
+int workers_start(struct kwb_agent *agent);
+void workers_stop(struct kwb_agent *agent);
+int queue_check_admission(struct kwb_agent *agent, const Kwb__Wire__Run *run);
+void queue_add_job(struct kwb_agent *agent, struct job *job);
+uint32_t queue_count_jobs(struct kwb_agent *agent);
+uint32_t queue_count_active(struct kwb_agent *agent); /* running, not ending */
+void queue_set_units(struct kwb_agent *agent, const char *plan, uint32_t units);
+uint32_t queue_count_running(struct kwb_agent *agent, const char *plan);
 
 /* upstream.c: engine or service client */
 void upstream_generate(struct kwb_agent *agent, struct job *job);
 void upstream_call(struct kwb_agent *agent, struct job *job);
-bool upstream_ended(struct kwb_agent *agent, const char *key);
-void upstream_watch(struct kwb_agent *agent);
-bool upstream_version(
+bool upstream_request_has_ended(struct kwb_agent *agent, const char *key);
+void upstream_poll(struct kwb_agent *agent);
+bool upstream_find_model(
     struct kwb_agent *agent, const char *model, struct model_state *state);
 
 /* order.c: fenced weight orders */
--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -7,7 +7,8 @@
 
 #include "agent.h"
 
-static int run_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run);
+static int run_check_refusal(
+    struct kwb_agent *agent, const Kwb__Wire__Run *run);
 static void run_attach(struct kwb_agent *agent, uint64_t link, struct job *job,
     const Kwb__Wire__Run *run);
 static void run_insert(struct kwb_agent *agent, struct journal_shard *shard,
@@ -18,15 +19,15 @@
     const Kwb__Wire__Run *run, int error);
 static void send_lists(struct kwb_agent *agent, uint64_t link);
 static void send_progress_to(
-    struct kwb_agent *agent, struct job *job, struct attachment *to);
+    struct kwb_agent *agent, struct job *job, struct attachment *attachment);
 static void send_done_to(struct kwb_agent *agent, const struct job *job,
-    const struct attachment *to);
-static void job_replay(struct kwb_agent *agent, struct job *job);
+    const struct attachment *attachment);
+static void job_send_state(struct kwb_agent *agent, struct job *job);
 static bool job_expire(struct kwb_agent *agent, struct journal_shard *shard,
-    struct job *job, uint64_t now_ns, bool hand_over);
-static bool sample_is_past(struct journal *journal, const struct job *job);
+    struct job *job, uint64_t now_ns, bool is_handing_over);
+static bool sample_is_outdated(struct journal *journal, const struct job *job);
 static unsigned find_in_shard(struct journal_shard *shard,
-    const Kwb__Wire__Find *find, Kwb__Wire__Held *held, unsigned room);
+    const Kwb__Wire__Find *find, Kwb__Wire__Held *held, unsigned held_capacity);
 static bool held_fill(Kwb__Wire__Held *held, const struct job *job);
 
 void
@@ -56,7 +57,7 @@
 		    KWB_ERR_CALL_INCARNATION);
 	} else if (job != NULL) {
 		run_attach(agent, link, job, run);
-	} else if ((error = run_refusal(agent, run)) != 0) {
+	} else if ((error = run_check_refusal(agent, run)) != 0) {
 		refuse_with_load(agent, link, run, error);
 	} else {
 		run_insert(agent, shard, link, frame);
@@ -94,7 +95,7 @@
 		refuse(agent, link, query->request, KWB_OUTCOME_NOT_RUN,
 		    KWB_ERR_CALL_BARRED);
 	else if (job_attach(job, link, query->request, 0))
-		job_replay(agent, job);
+		job_send_state(agent, job);
 	else
 		refuse(agent, link, query->request, KWB_OUTCOME_UNKNOWN,
 		    KWB_ERR_CALL_BUSY);
@@ -115,7 +116,7 @@
 		TAILQ_FOREACH (job, &shard->jobs, in_shard) {
 			if (!job_detach(job, link, cancel->request))
 				continue;
-			if (!cancel->keep && job->attached == 0)
+			if (!cancel->keep && job->attachments_count == 0)
 				atomic_store(&job->cancelled, true);
 		}
 		pthread_mutex_unlock(&shard->lock);
@@ -129,18 +130,18 @@
 	KWB_FRAME(frame, FOUND, found, found);
 	Kwb__Wire__Held *held;
 	Kwb__Wire__Held **pointers;
-	unsigned i, count = 0, room;
+	unsigned i, count = 0, held_capacity;
 
 	if (journal_raise_fence(
 		&agent->journal, find->plan, find->step, find->attempt) != 0)
 		kwb_metric_add(KWB_METRIC_FENCED, 1);
-	room = atomic_load(&agent->journal.count) + 1;
-	held = calloc(room, sizeof(*held));
-	pointers = calloc(room, sizeof(*pointers));
+	held_capacity = atomic_load(&agent->journal.count) + 1;
+	held = calloc(held_capacity, sizeof(*held));
+	pointers = calloc(held_capacity, sizeof(*pointers));
 	found.request = find->request;
 	for (i = 0; i < KWB_SHARDS && held != NULL; i++)
 		count += find_in_shard(&agent->journal.shards[i], find,
-		    held + count, room - count);
+		    held + count, held_capacity - count);
 	for (i = 0; i < count && pointers != NULL; i++)
 		pointers[i] = &held[i];
 	found.n_held = pointers ? count : 0;
@@ -175,13 +176,13 @@
 
 /* Forgets old jobs, cancels orphans; called every so often. */
 void
-handle_expired(struct kwb_agent *agent)
+jobs_expire(struct kwb_agent *agent)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	uint64_t leaving_ns = atomic_load(&agent->leaving_ns);
-	bool hand_over =
-	    leaving_ns != 0 && now_ns >= leaving_ns + KWB_JOB_ORPHAN_NS / 4;
-	bool full = journal_is_full(&agent->journal);
+	uint64_t leaving_since_ns = atomic_load(&agent->leaving_since_ns);
+	bool is_handing_over = leaving_since_ns != 0 &&
+	    now_ns >= leaving_since_ns + KWB_JOB_ORPHAN_NS / 4;
+	bool is_full = journal_is_full(&agent->journal);
 	struct job *job, *next;
 	unsigned i;
 
@@ -191,10 +192,11 @@
 		pthread_mutex_lock(&shard->lock);
 		for (job = TAILQ_FIRST(&shard->jobs); job != NULL; job = next) {
 			next = TAILQ_NEXT(job, in_shard);
-			if (job_expire(agent, shard, job, now_ns, hand_over))
+			if (job_expire(
+				agent, shard, job, now_ns, is_handing_over))
 				continue;
 			/* Finished samples can be made again; calls not. */
-			if (full && job->state == JOB_DONE &&
+			if (is_full && job->state == JOB_DONE &&
 			    job_is_sample(job))
 				journal_remove(&agent->journal, shard, job);
 		}
@@ -207,7 +209,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < job->attached; i++)
+	for (i = 0; i < job->attachments_count; i++)
 		send_progress_to(agent, job, &job->attachments[i]);
 }
 
@@ -217,16 +219,16 @@
 	unsigned i;
 
 	job_send_progress(agent, job);
-	for (i = 0; i < job->attached; i++)
+	for (i = 0; i < job->attachments_count; i++)
 		send_done_to(agent, job, &job->attachments[i]);
-	job->attached = 0;
+	job->attachments_count = 0;
 }
 
 /* Why a key not seen before is not taken; 0 when it may be. */
 static int
-run_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run)
+run_check_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run)
 {
-	if (agent_leaving(agent))
+	if (agent_is_leaving(agent))
 		return KWB_ERR_CALL_LEAVING;
 	if (run->lists_revision > kwb_current_lists_revision())
 		return KWB_ERR_LISTS_NONE;
@@ -241,7 +243,7 @@
 	}
 	if (journal_is_full(&agent->journal))
 		return KWB_ERR_CALL_BUSY;
-	return run_admit(agent, run);
+	return queue_check_admission(agent, run);
 }
 
 static void
@@ -263,11 +265,11 @@
 		return;
 	}
 	if (attempt > job->attempt) {
-		for (i = 0; i < job->attached; i++)
+		for (i = 0; i < job->attachments_count; i++)
 			refuse(agent, job->attachments[i].link,
 			    job->attachments[i].request, KWB_OUTCOME_NOT_RUN,
 			    KWB_ERR_CALL_FENCED);
-		job->attached = 0;
+		job->attachments_count = 0;
 		job->attempt = attempt;
 	}
 	if (!job_attach(job, link, run->request, 0)) {
@@ -277,7 +279,7 @@
 	}
 	kwb_log(KWB_LOG_INFO, "agent", "event=attach key=%s state=%d", job->key,
 	    job->state);
-	job_replay(agent, job);
+	job_send_state(agent, job);
 }
 
 static void
@@ -309,7 +311,7 @@
 		    run->n_resume_spans ? run->resume_spans[span]->version : 0);
 	}
 	job_attach(job, link, run->request, (uint32_t)run->n_resume);
-	run_enqueue(agent, job);
+	queue_add_job(agent, job);
 }
 
 static void
@@ -322,7 +324,7 @@
 	done.request = request;
 	done.outcome = outcome;
 	done.error = error;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	kwb_log(KWB_LOG_DEBUG, "agent", "event=refuse request=%llu error=%s",
 	    (unsigned long long)request, kwb_error_name(error));
 	kwb_link_send(&agent->loop, link, &frame);
@@ -340,10 +342,10 @@
 	done.outcome = error == KWB_ERR_CALL_FORGOTTEN ? KWB_OUTCOME_UNKNOWN
 						       : KWB_OUTCOME_NOT_RUN;
 	done.error = error;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	done.plan = run->plan;
-	done.plan_running = run_plan_running(agent, run->plan);
-	done.busy = run_busy(agent);
+	done.plan_running = queue_count_running(agent, run->plan);
+	done.busy = queue_count_jobs(agent);
 	kwb_link_send(&agent->loop, link, &frame);
 }
 
@@ -364,7 +366,7 @@
 }
 
 static void
-job_replay(struct kwb_agent *agent, struct job *job)
+job_send_state(struct kwb_agent *agent, struct job *job)
 {
 	if (job->state == JOB_DONE)
 		job_send_done(agent, job);
@@ -374,75 +376,76 @@
 
 static void
 send_progress_to(
-    struct kwb_agent *agent, struct job *job, struct attachment *to)
+    struct kwb_agent *agent, struct job *job, struct attachment *attachment)
 {
 	Kwb__Wire__Progress progress = KWB__WIRE__PROGRESS__INIT;
 	KWB_FRAME(frame, PROGRESS, progress, progress);
 	struct wire_span_list spans;
 
-	if (to->sent_tokens >= job->tokens.count)
+	if (attachment->sent_tokens >= job->tokens.count)
 		return;
-	progress.request = to->request;
-	progress.first = to->sent_tokens;
-	progress.tokens = job->tokens.text + to->sent_tokens;
-	progress.n_tokens = job->tokens.count - to->sent_tokens;
-	progress.n_spans = wire_spans(&job->tokens, to->sent_tokens, &spans);
+	progress.request = attachment->request;
+	progress.first = attachment->sent_tokens;
+	progress.tokens = job->tokens.text + attachment->sent_tokens;
+	progress.n_tokens = job->tokens.count - attachment->sent_tokens;
+	progress.n_spans =
+	    wire_spans(&job->tokens, attachment->sent_tokens, &spans);
 	progress.spans = spans.pointers;
-	if (kwb_link_send(&agent->loop, to->link, &frame) == 0)
-		to->sent_tokens = job->tokens.count;
+	if (kwb_link_send(&agent->loop, attachment->link, &frame) == 0)
+		attachment->sent_tokens = job->tokens.count;
 }
 
 static void
-send_done_to(
-    struct kwb_agent *agent, const struct job *job, const struct attachment *to)
+send_done_to(struct kwb_agent *agent, const struct job *job,
+    const struct attachment *attachment)
 {
 	Kwb__Wire__Done done = KWB__WIRE__DONE__INIT;
 	KWB_FRAME(frame, DONE, done, done);
 
-	done.request = to->request;
+	done.request = attachment->request;
 	done.outcome = job->outcome;
 	done.error = job->error;
 	done.status = job->status;
 	done.content_type = (char *)job->content_type;
 	done.body.data = (uint8_t *)job->body.data;
 	done.body.len = job->body.used_bytes;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	done.plan = (char *)job->plan;
-	done.plan_running = run_plan_running(agent, job->plan);
-	done.busy = run_busy(agent);
-	kwb_link_send(&agent->loop, to->link, &frame);
+	done.plan_running = queue_count_running(agent, job->plan);
+	done.busy = queue_count_jobs(agent);
+	kwb_link_send(&agent->loop, attachment->link, &frame);
 }
 
 /* Returns true when the job was removed. */
 static bool
 job_expire(struct kwb_agent *agent, struct journal_shard *shard,
-    struct job *job, uint64_t now_ns, bool hand_over)
+    struct job *job, uint64_t now_ns, bool is_handing_over)
 {
-	bool generation = job->frame != NULL && job->frame->run->model[0];
-	bool orphan = job->orphan_ns != 0 &&
-	    (now_ns >= job->orphan_ns || !job_is_sample(job));
+	bool is_generation = job->frame != NULL && job->frame->run->model[0];
+	bool is_orphan = job->orphan_deadline_ns != 0 &&
+	    (now_ns >= job->orphan_deadline_ns || !job_is_sample(job));
 
 	if (job->state == JOB_DONE || job->state == JOB_BARRED) {
-		if (now_ns < job->forget_ns &&
-		    !sample_is_past(&agent->journal, job))
+		if (now_ns < job->retained_until_ns &&
+		    !sample_is_outdated(&agent->journal, job))
 			return false;
 		journal_remove(&agent->journal, shard, job);
 		return true;
 	}
-	if (now_ns >= job->deadline_ns && generation)
+	if (now_ns >= job->deadline_ns && is_generation)
 		atomic_store(&job->cancelled, true);
-	if (generation && (orphan || hand_over))
+	if (is_generation && (is_orphan || is_handing_over))
 		atomic_store(&job->cancelled, true);
-	if (sample_is_past(&agent->journal, job))
+	if (sample_is_outdated(&agent->journal, job))
 		atomic_store(&job->cancelled, true);
 	return false;
 }
 
 static bool
-sample_is_past(struct journal *journal, const struct job *job)
+sample_is_outdated(struct journal *journal, const struct job *job)
 {
 	const Kwb__Wire__Slot *slot = job_slot(job);
-	bool past = false;
+	bool is_outdated = false;
 	unsigned i;
 
 	if (slot == NULL)
@@ -450,21 +453,21 @@
 	pthread_mutex_lock(&journal->fences_lock);
 	for (i = 0; i < KWB_PLANS_MAX; i++)
 		if (strcmp(journal->fences[i].plan, job->plan) == 0)
-			past = slot->step < journal->fences[i].step;
+			is_outdated = slot->step < journal->fences[i].step;
 	pthread_mutex_unlock(&journal->fences_lock);
-	return past;
+	return is_outdated;
 }
 
 static unsigned
 find_in_shard(struct journal_shard *shard, const Kwb__Wire__Find *find,
-    Kwb__Wire__Held *held, unsigned room)
+    Kwb__Wire__Held *held, unsigned held_capacity)
 {
 	struct job *job;
 	unsigned count = 0;
 
 	pthread_mutex_lock(&shard->lock);
 	TAILQ_FOREACH (job, &shard->jobs, in_shard) {
-		if (count == room || !job_is_sample(job) ||
+		if (count == held_capacity || !job_is_sample(job) ||
 		    strcmp(job->plan, find->plan) != 0 ||
 		    job->frame->run->slot->step != find->step)
 			continue;
--- a/src/agent/http.c
+++ b/src/agent/http.c
@@ -57,7 +57,7 @@
 {
 	struct kwb_agent *agent = context;
 
-	if (agent_leaving(agent))
+	if (agent_is_leaving(agent))
 		mg_send_http_error(connection, 503, "leaving");
 	else
 		mg_send_http_ok(connection, "text/plain", 0);
--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -8,29 +8,30 @@
 
 #include "agent.h"
 
-#define WAITING_PRIORITY_MAX 0
+#define INTERACTIVE_WAITING_MAX 0
 #define WAITING_MAX 1
-#define IDLE_WAIT_NS (1000 * KWB_MS_NS)
-#define QUEUE_WAIT_NS (5 * KWB_MS_NS)
-#define WAIT_PRIORITY_NS (20 * KWB_MS_NS)
-#define WAIT_NS (60 * KWB_MS_NS)
-#define ENDING_NS (60000 * KWB_MS_NS)
-#define ENDING_POLL_NS (100 * KWB_MS_NS)
+#define IDLE_POLL_NS (1000 * KWB_MS_NS)
+#define WAITING_POLL_NS (5 * KWB_MS_NS)
+#define INTERACTIVE_START_TIMEOUT_NS (20 * KWB_MS_NS)
+#define START_TIMEOUT_NS (60 * KWB_MS_NS)
+#define LINGER_MAX_NS (60000 * KWB_MS_NS)
+#define LINGER_POLL_NS (100 * KWB_MS_NS)
 
 static void *worker_run(void *argument);
-static struct job *take_next(struct kwb_agent *agent);
-static struct job *best_waiting(struct kwb_agent *agent);
-static bool may_start(const struct kwb_agent *agent, const struct job *job,
+static struct job *take_next_job(struct kwb_agent *agent);
+static struct job *choose_waiting_job(struct kwb_agent *agent);
+static bool can_start(const struct kwb_agent *agent, const struct job *job,
     const struct plan_use *use);
-static bool goes_before(const struct job *a, const struct job *b);
-static struct plan_use *plan_use(struct run_queue *queue, const char *plan);
-static bool begin(struct kwb_agent *agent, struct job *job);
-static void finish(struct kwb_agent *agent, struct job *job);
-static void await_ended(struct kwb_agent *agent, const char *key);
-static void place_release(struct kwb_agent *agent, const char *plan);
+static bool starts_before(const struct job *a, const struct job *b);
+static struct plan_use *plan_use_find_or_add(
+    struct run_queue *queue, const char *plan);
+static bool begin_job(struct kwb_agent *agent, struct job *job);
+static void finish_job(struct kwb_agent *agent, struct job *job);
+static void wait_until_ended(struct kwb_agent *agent, const char *key);
+static void release_slot(struct kwb_agent *agent, const char *plan);
 
 int
-run_start(struct kwb_agent *agent)
+workers_start(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	unsigned i;
@@ -50,7 +51,7 @@
 }
 
 void
-run_stop(struct kwb_agent *agent)
+workers_stop(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	unsigned i;
@@ -68,42 +69,43 @@
 
 /* Whether there is a chance of a prompt start; 0 or a typed refusal. */
 int
-run_admit(struct kwb_agent *agent, const Kwb__Wire__Run *run)
+queue_check_admission(struct kwb_agent *agent, const Kwb__Wire__Run *run)
 {
 	struct run_queue *queue = &agent->queue;
 	const struct plan_use *use;
-	uint32_t waiting_max =
-	    run->priority > 0 ? WAITING_PRIORITY_MAX : WAITING_MAX;
+	uint32_t waiting_limit =
+	    run->priority > 0 ? INTERACTIVE_WAITING_MAX : WAITING_MAX;
 	int error = 0;
 
 	pthread_mutex_lock(&queue->lock);
-	use = plan_use(queue, run->plan);
+	use = plan_use_find_or_add(queue, run->plan);
 	if (use == NULL || use->units == 0 ||
-	    use->running + use->waiting >= use->units + waiting_max)
+	    use->running + use->waiting >= use->units + waiting_limit)
 		error = KWB_ERR_CALL_BUSY;
 	pthread_mutex_unlock(&queue->lock);
 	return error;
 }
 
 void
-run_enqueue(struct kwb_agent *agent, struct job *job)
+queue_add_job(struct kwb_agent *agent, struct job *job)
 {
 	struct run_queue *queue = &agent->queue;
 	struct plan_use *use;
 
-	job->wait_ns = kwb_clock_now_ns() +
-	    (job->frame->run->priority ? WAIT_PRIORITY_NS : WAIT_NS);
+	job->start_deadline_ns = kwb_clock_now_ns() +
+	    (job->frame->run->priority ? INTERACTIVE_START_TIMEOUT_NS
+				       : START_TIMEOUT_NS);
 	pthread_mutex_lock(&queue->lock);
 	TAILQ_INSERT_TAIL(&queue->waiting, job, in_queue);
 	queue->waiting_count++;
-	use = plan_use(queue, job->plan);
+	use = plan_use_find_or_add(queue, job->plan);
 	use->waiting++;
 	pthread_cond_signal(&queue->changed);
 	pthread_mutex_unlock(&queue->lock);
 }
 
 uint32_t
-run_busy(struct kwb_agent *agent)
+queue_count_jobs(struct kwb_agent *agent)
 {
 	uint32_t busy;
 
@@ -114,23 +116,23 @@
 }
 
 uint32_t
-run_accounted(struct kwb_agent *agent)
+queue_count_active(struct kwb_agent *agent)
 {
 	uint32_t count;
 
 	pthread_mutex_lock(&agent->queue.lock);
-	count = agent->queue.running_count - agent->queue.ending_count;
+	count = agent->queue.running_count - agent->queue.lingering_count;
 	pthread_mutex_unlock(&agent->queue.lock);
 	return count;
 }
 
 void
-run_set_units(struct kwb_agent *agent, const char *plan, uint32_t units)
+queue_set_units(struct kwb_agent *agent, const char *plan, uint32_t units)
 {
 	struct plan_use *use;
 
 	pthread_mutex_lock(&agent->queue.lock);
-	use = plan_use(&agent->queue, plan);
+	use = plan_use_find_or_add(&agent->queue, plan);
 	if (use != NULL)
 		use->units = units;
 	pthread_cond_broadcast(&agent->queue.changed);
@@ -138,13 +140,13 @@
 }
 
 uint32_t
-run_plan_running(struct kwb_agent *agent, const char *plan)
+queue_count_running(struct kwb_agent *agent, const char *plan)
 {
 	struct plan_use *use;
 	uint32_t running;
 
 	pthread_mutex_lock(&agent->queue.lock);
-	use = plan_use(&agent->queue, plan);
+	use = plan_use_find_or_add(&agent->queue, plan);
 	running = use ? use->running : 0;
 	pthread_mutex_unlock(&agent->queue.lock);
 	return running;
@@ -157,15 +159,15 @@
 	struct job *job;
 
 	kwb_current_lists_register_thread();
-	while ((job = take_next(agent)) != NULL) {
-		if (begin(agent, job)) {
+	while ((job = take_next_job(agent)) != NULL) {
+		if (begin_job(agent, job)) {
 			if (agent->settings->upstream_kind ==
 			    KWB_UPSTREAM_ENGINE)
 				upstream_generate(agent, job);
 			else
 				upstream_call(agent, job);
 		}
-		finish(agent, job);
+		finish_job(agent, job);
 	}
 	kwb_current_lists_unregister_thread();
 	return NULL;
@@ -173,7 +175,7 @@
 
 /* Waits for a job that may start; counts it as running; NULL at the end. */
 static struct job *
-take_next(struct kwb_agent *agent)
+take_next_job(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	struct plan_use *use;
@@ -181,18 +183,19 @@
 
 	pthread_mutex_lock(&queue->lock);
 	for (;;) {
-		best = best_waiting(agent);
+		best = choose_waiting_job(agent);
 		if (best != NULL || queue->stopping)
 			break;
 		kwb_cond_wait_until(&queue->changed, &queue->lock,
 		    kwb_clock_now_ns() +
-			(queue->waiting_count ? QUEUE_WAIT_NS : IDLE_WAIT_NS));
+			(queue->waiting_count ? WAITING_POLL_NS
+					      : IDLE_POLL_NS));
 	}
 	if (best != NULL) {
 		TAILQ_REMOVE(&queue->waiting, best, in_queue);
 		queue->waiting_count--;
 		queue->running_count++;
-		use = plan_use(queue, best->plan);
+		use = plan_use_find_or_add(queue, best->plan);
 		use->waiting--;
 		use->running++;
 	}
@@ -205,28 +208,30 @@
  * refused: its entry may know a better place.
  */
 static struct job *
-best_waiting(struct kwb_agent *agent)
+choose_waiting_job(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct job *job, *best = NULL;
 
 	TAILQ_FOREACH (job, &queue->waiting, in_queue)
-		if (may_start(agent, job, plan_use(queue, job->plan)) &&
-		    (best == NULL || goes_before(job, best)))
+		if (can_start(
+			agent, job, plan_use_find_or_add(queue, job->plan)) &&
+		    (best == NULL || starts_before(job, best)))
 			best = job;
 	if (best != NULL)
 		return best;
 	TAILQ_FOREACH (job, &queue->waiting, in_queue)
-		if (now_ns >= job->wait_ns || atomic_load(&job->cancelled)) {
-			job->waited_out = true;
+		if (now_ns >= job->start_deadline_ns ||
+		    atomic_load(&job->cancelled)) {
+			job->is_wait_over = true;
 			return job;
 		}
 	return NULL;
 }
 
 static bool
-may_start(const struct kwb_agent *agent, const struct job *job,
+can_start(const struct kwb_agent *agent, const struct job *job,
     const struct plan_use *use)
 {
 	const struct run_queue *queue = &agent->queue;
@@ -242,7 +247,7 @@
 }
 
 static bool
-goes_before(const struct job *a, const struct job *b)
+starts_before(const struct job *a, const struct job *b)
 {
 	if (a->frame->run->priority != b->frame->run->priority)
 		return a->frame->run->priority > b->frame->run->priority;
@@ -251,7 +256,7 @@
 
 /* The plan's use here, made on first sight; NULL when the table is full. */
 static struct plan_use *
-plan_use(struct run_queue *queue, const char *plan)
+plan_use_find_or_add(struct run_queue *queue, const char *plan)
 {
 	struct plan_use *use;
 	unsigned i;
@@ -269,14 +274,14 @@
 
 /* Last check before the upstream sees the job. */
 static bool
-begin(struct kwb_agent *agent, struct job *job)
+begin_job(struct kwb_agent *agent, struct job *job)
 {
 	struct journal_shard *shard = journal_lock(&agent->journal, job->key);
 	int error = 0;
 
 	if (atomic_load(&job->cancelled))
 		error = KWB_ERR_CALL_CANCELLED;
-	else if (job->waited_out)
+	else if (job->is_wait_over)
 		error = KWB_ERR_CALL_BUSY;
 	else if (kwb_clock_now_ns() >= job->deadline_ns)
 		error = KWB_ERR_CALL_DEADLINE;
@@ -296,17 +301,17 @@
  * last, once the upstream surely no longer runs the request.
  */
 static void
-finish(struct kwb_agent *agent, struct job *job)
+finish_job(struct kwb_agent *agent, struct job *job)
 {
 	char key[KWB_KEY_MAX_BYTES], plan[KWB_NAME_MAX_BYTES];
 	struct journal_shard *shard;
-	bool generation, broken;
+	bool is_generation, may_linger;
 
 	shard = journal_lock(&agent->journal, job->key);
 	kwb_text_copy(key, sizeof(key), job->key);
 	kwb_text_copy(plan, sizeof(plan), job->plan);
-	generation = job->frame->run->model[0] != '\0';
-	broken = job->outcome == KWB_OUTCOME_PARTIAL ||
+	is_generation = job->frame->run->model[0] != '\0';
+	may_linger = job->outcome == KWB_OUTCOME_PARTIAL ||
 	    job->outcome == KWB_OUTCOME_UNKNOWN;
 	job->state = JOB_DONE;
 	kwb_log(KWB_LOG_INFO, "agent",
@@ -314,7 +319,7 @@
 	    plan, kwb_outcome_name(job->outcome), kwb_error_name(job->error),
 	    job->tokens.count);
 	job_send_done(agent, job);
-	if (generation &&
+	if (is_generation &&
 	    (job->outcome != KWB_OUTCOME_RAN || !job_is_sample(job)))
 		journal_remove(&agent->journal, shard, job);
 	else if (job->outcome == KWB_OUTCOME_NOT_RUN)
@@ -322,36 +327,36 @@
 	else
 		journal_retain(&agent->journal, job);
 	journal_unlock(shard);
-	if (broken)
-		await_ended(agent, key);
-	place_release(agent, plan);
+	if (may_linger)
+		wait_until_ended(agent, key);
+	release_slot(agent, plan);
 }
 
 static void
-await_ended(struct kwb_agent *agent, const char *key)
+wait_until_ended(struct kwb_agent *agent, const char *key)
 {
-	uint64_t give_up_ns = kwb_clock_now_ns() + ENDING_NS;
+	uint64_t deadline_ns = kwb_clock_now_ns() + LINGER_MAX_NS;
 
 	pthread_mutex_lock(&agent->queue.lock);
-	agent->queue.ending_count++;
+	agent->queue.lingering_count++;
 	pthread_mutex_unlock(&agent->queue.lock);
-	while (!upstream_ended(agent, key) && kwb_clock_now_ns() < give_up_ns &&
-	    !agent->queue.stopping)
-		kwb_clock_sleep_ns(ENDING_POLL_NS);
+	while (!upstream_request_has_ended(agent, key) &&
+	    kwb_clock_now_ns() < deadline_ns && !agent->queue.stopping)
+		kwb_clock_sleep_ns(LINGER_POLL_NS);
 	pthread_mutex_lock(&agent->queue.lock);
-	agent->queue.ending_count--;
+	agent->queue.lingering_count--;
 	pthread_mutex_unlock(&agent->queue.lock);
 }
 
 static void
-place_release(struct kwb_agent *agent, const char *plan)
+release_slot(struct kwb_agent *agent, const char *plan)
 {
 	struct run_queue *queue = &agent->queue;
 	struct plan_use *use;
 
 	pthread_mutex_lock(&queue->lock);
 	queue->running_count--;
-	use = plan_use(queue, plan);
+	use = plan_use_find_or_add(queue, plan);
 	use->running--;
 	pthread_cond_broadcast(&queue->changed);
 	pthread_mutex_unlock(&queue->lock);
--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -12,7 +12,7 @@
 
 #define URL_MAX_BYTES 512
 #define DOWN_FAILURES 2
-#define WATCH_TIMEOUT_MS 1000
+#define POLL_TIMEOUT_MS 1000
 
 /* A generation stream being read: server-sent events, one line at a time. */
 struct stream {
@@ -20,19 +20,20 @@
 	struct job *job;
 	struct kwb_buf line;
 	uint64_t assumed_version; /* for tokens whose event names none */
-	bool assumed;
-	bool finished;
+	bool is_version_assumed;
+	bool is_finished;
 };
 
-static char *generate_body(const struct job *job);
-static bool stream_data(void *context, const char *data, size_t length_bytes);
+static char *print_generate_body(const struct job *job);
+static bool stream_on_data(
+    void *context, const char *data, size_t length_bytes);
 static bool stream_should_stop(void *context);
-static void stream_line(struct stream *stream, const char *line);
-static void stream_token(
+static void stream_parse_line(struct stream *stream, const char *line);
+static void stream_add_token(
     struct stream *stream, const char *text, uint64_t version);
-static void generate_settle(struct stream *stream, int error,
+static void generate_set_outcome(struct stream *stream, int error,
     const struct kwb_http_answer *answer, const struct model_state *before);
-static void watch_parse(struct kwb_agent *agent, const char *text);
+static void parse_load(struct kwb_agent *agent, const char *text);
 
 void
 upstream_generate(struct kwb_agent *agent, struct job *job)
@@ -44,7 +45,7 @@
 	    .method = "POST",
 	    .url = url,
 	    .content_type = "application/json",
-	    .on_data = stream_data,
+	    .on_data = stream_on_data,
 	    .should_stop = stream_should_stop,
 	    .context = &stream,
 	};
@@ -53,7 +54,7 @@
 	char *body;
 	int error;
 
-	if (!upstream_version(agent, run->model, &before) ||
+	if (!upstream_find_model(agent, run->model, &before) ||
 	    before.version < run->min_version) {
 		job->outcome = KWB_OUTCOME_NOT_RUN;
 		job->error = KWB_ERR_CALL_VERSION;
@@ -63,12 +64,12 @@
 	kwb_buf_init(&stream.line);
 	snprintf(
 	    url, sizeof(url), "%s/v1/completions", agent->settings->upstream);
-	body = generate_body(job);
+	body = print_generate_body(job);
 	request.body = body;
 	request.body_bytes = strlen(body);
 	request.timeout_ms = (uint32_t)kwb_clock_left_ms(job->deadline_ns) + 1;
 	error = kwb_http_do(&request, &answer);
-	generate_settle(&stream, error, &answer, &before);
+	generate_set_outcome(&stream, error, &answer, &before);
 	kwb_http_answer_finish(&answer);
 	kwb_buf_finish(&stream.line);
 	free(body);
@@ -118,7 +119,7 @@
  * than can be accounted for. An upstream that is gone runs nothing.
  */
 bool
-upstream_ended(struct kwb_agent *agent, const char *key)
+upstream_request_has_ended(struct kwb_agent *agent, const char *key)
 {
 	char url[URL_MAX_BYTES];
 	struct kwb_http_request request = {
@@ -127,61 +128,61 @@
 	    .content_type = "text/plain",
 	    .body = key,
 	    .body_bytes = strlen(key),
-	    .timeout_ms = WATCH_TIMEOUT_MS,
+	    .timeout_ms = POLL_TIMEOUT_MS,
 	};
 	struct kwb_http_answer answer;
-	bool ended;
+	bool has_ended;
 	int error;
 
 	if (agent->settings->upstream_kind == KWB_UPSTREAM_SERVICE) {
-		upstream_watch(agent);
+		upstream_poll(agent);
 		pthread_mutex_lock(&agent->upstream.lock);
-		ended = !agent->upstream.up ||
-		    agent->upstream.running <= run_accounted(agent);
+		has_ended = !agent->upstream.up ||
+		    agent->upstream.running <= queue_count_active(agent);
 		pthread_mutex_unlock(&agent->upstream.lock);
-		return ended;
+		return has_ended;
 	}
 	snprintf(url, sizeof(url), "%s/cancel", agent->settings->upstream);
 	error = kwb_http_do(&request, &answer);
-	ended = error == 0 || !answer.sent;
+	has_ended = error == 0 || !answer.sent;
 	kwb_http_answer_finish(&answer);
-	return ended;
+	return has_ended;
 }
 
 /* Reads load and versions, or the health of a service, once. */
 void
-upstream_watch(struct kwb_agent *agent)
+upstream_poll(struct kwb_agent *agent)
 {
 	struct upstream_state *state = &agent->upstream;
-	bool engine = agent->settings->upstream_kind == KWB_UPSTREAM_ENGINE;
+	bool is_engine = agent->settings->upstream_kind == KWB_UPSTREAM_ENGINE;
 	char url[URL_MAX_BYTES];
 	struct kwb_http_request request = {
 	    .method = "GET",
 	    .url = url,
-	    .timeout_ms = WATCH_TIMEOUT_MS,
+	    .timeout_ms = POLL_TIMEOUT_MS,
 	};
 	struct kwb_http_answer answer;
 	int error;
 
 	snprintf(url, sizeof(url), "%s%s", agent->settings->upstream,
-	    engine ? "/load" : "/health");
+	    is_engine ? "/load" : "/health");
 	error = kwb_http_do(&request, &answer);
 	pthread_mutex_lock(&state->lock);
-	state->failures = error ? state->failures + 1 : 0;
-	if (error == 0 || state->failures >= DOWN_FAILURES) {
+	state->failures_in_row = error ? state->failures_in_row + 1 : 0;
+	if (error == 0 || state->failures_in_row >= DOWN_FAILURES) {
 		if (state->up != (error == 0))
 			kwb_log(KWB_LOG_WARN, "agent", "event=upstream up=%d",
 			    error == 0);
 		state->up = error == 0;
 	}
 	if (error == 0)
-		watch_parse(agent, kwb_buf_text(&answer.body));
+		parse_load(agent, kwb_buf_text(&answer.body));
 	pthread_mutex_unlock(&state->lock);
 	kwb_http_answer_finish(&answer);
 }
 
 bool
-upstream_version(
+upstream_find_model(
     struct kwb_agent *agent, const char *model, struct model_state *state)
 {
 	bool found = false;
@@ -197,7 +198,7 @@
 }
 
 static char *
-generate_body(const struct job *job)
+print_generate_body(const struct job *job)
 {
 	const Kwb__Wire__Run *run = job->frame->run;
 	json_t *resume = json_array();
@@ -217,19 +218,19 @@
 }
 
 static bool
-stream_data(void *context, const char *data, size_t length_bytes)
+stream_on_data(void *context, const char *data, size_t length_bytes)
 {
 	struct stream *stream = context;
 	const char *newline;
 
 	while ((newline = memchr(data, '\n', length_bytes)) != NULL) {
-		size_t part = (size_t)(newline - data);
+		size_t part_bytes = (size_t)(newline - data);
 
-		kwb_buf_add(&stream->line, data, part);
-		stream_line(stream, kwb_buf_text(&stream->line));
+		kwb_buf_add(&stream->line, data, part_bytes);
+		stream_parse_line(stream, kwb_buf_text(&stream->line));
 		stream->line.used_bytes = 0;
-		data += part + 1;
-		length_bytes -= part + 1;
+		data += part_bytes + 1;
+		length_bytes -= part_bytes + 1;
 	}
 	kwb_buf_add(&stream->line, data, length_bytes);
 	return !atomic_load(&stream->job->cancelled);
@@ -244,7 +245,7 @@
 }
 
 static void
-stream_line(struct stream *stream, const char *line)
+stream_parse_line(struct stream *stream, const char *line)
 {
 	json_t *root, *version;
 	const char *text;
@@ -257,18 +258,18 @@
 	text = json_string_value(json_object_get(root, "token"));
 	version = json_object_get(root, "version");
 	if (text != NULL && version == NULL)
-		stream->assumed = true;
+		stream->is_version_assumed = true;
 	if (text != NULL)
-		stream_token(stream, text,
+		stream_add_token(stream, text,
 		    version ? (uint64_t)json_integer_value(version)
 			    : stream->assumed_version);
 	if (json_object_get(root, "finish") != NULL)
-		stream->finished = true;
+		stream->is_finished = true;
 	json_decref(root);
 }
 
 static void
-stream_token(struct stream *stream, const char *text, uint64_t version)
+stream_add_token(struct stream *stream, const char *text, uint64_t version)
 {
 	struct job *job = stream->job;
 	struct journal_shard *shard =
@@ -277,9 +278,9 @@
 
 	kwb_tokens_add(&job->tokens, text, version);
 	kwb_metric_add(KWB_METRIC_TOKENS, 1);
-	if (now_ns >= job->progress_ns || !job_is_sample(job)) {
-		job->progress_ns = now_ns + KWB_PROGRESS_NS;
-		if (!stream->assumed)
+	if (now_ns >= job->next_progress_ns || !job_is_sample(job)) {
+		job->next_progress_ns = now_ns + KWB_PROGRESS_NS;
+		if (!stream->is_version_assumed)
 			job_send_progress(stream->agent, job);
 	}
 	journal_unlock(shard);
@@ -291,26 +292,27 @@
  * output is thrown away.
  */
 static void
-generate_settle(struct stream *stream, int error,
+generate_set_outcome(struct stream *stream, int error,
     const struct kwb_http_answer *answer, const struct model_state *before)
 {
 	struct kwb_agent *agent = stream->agent;
 	struct job *job = stream->job;
 	struct journal_shard *shard;
 	struct model_state after = {0};
-	bool known = true;
+	bool is_version_known = true;
 
-	if (stream->assumed) {
-		upstream_watch(agent);
-		known = upstream_version(agent, before->model, &after) &&
+	if (stream->is_version_assumed) {
+		upstream_poll(agent);
+		is_version_known =
+		    upstream_find_model(agent, before->model, &after) &&
 		    after.version == before->version && !after.swapping;
 	}
 	shard = journal_lock(&agent->journal, job->key);
-	if (!known) {
+	if (!is_version_known) {
 		kwb_tokens_finish(&job->tokens);
 		kwb_tokens_init(&job->tokens);
 	}
-	if (known && error == 0 && stream->finished) {
+	if (is_version_known && error == 0 && stream->is_finished) {
 		job->outcome = KWB_OUTCOME_RAN;
 		job->status = 200;
 	} else if (answer->sent || job->tokens.count > 0) {
@@ -327,7 +329,7 @@
 
 /* Called under the state's lock. */
 static void
-watch_parse(struct kwb_agent *agent, const char *text)
+parse_load(struct kwb_agent *agent, const char *text)
 {
 	struct upstream_state *state = &agent->upstream;
 	json_t *root = json_loads(text, 0, NULL);
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -91,7 +91,7 @@
 {
 	TAILQ_REMOVE(&shard->jobs, job, in_shard);
 	atomic_fetch_sub(&journal->count, 1);
-	atomic_fetch_sub(&journal->kept_bytes, job->kept_bytes);
+	atomic_fetch_sub(&journal->retained_bytes, job->retained_bytes);
 	job_free(job);
 }
 
@@ -103,7 +103,7 @@
 journal_is_full(const struct journal *journal)
 {
 	return atomic_load(&journal->count) >= KWB_JOURNAL_JOBS_MAX ||
-	    atomic_load(&journal->kept_bytes) >= KWB_JOURNAL_MAX_BYTES;
+	    atomic_load(&journal->retained_bytes) >= KWB_JOURNAL_MAX_BYTES;
 }
 
 /*
@@ -119,15 +119,16 @@
 	for (i = 0; i < job->tokens.count; i++)
 		bytes += strlen(job->tokens.text[i]) + 1 + sizeof(char *) +
 		    sizeof(uint64_t);
-	job->kept_bytes = bytes;
-	job->forget_ns = kwb_clock_now_ns() + KWB_JOB_RETENTION_MS * KWB_MS_NS;
-	atomic_fetch_add(&journal->kept_bytes, bytes);
+	job->retained_bytes = bytes;
+	job->retained_until_ns =
+	    kwb_clock_now_ns() + KWB_JOB_RETENTION_MS * KWB_MS_NS;
+	atomic_fetch_add(&journal->retained_bytes, bytes);
 }
 
 /*
  * Raises a plan's fence to a step and attempt. KWB_ERR_CALL_FENCED for a lower
  * attempt of the same step. Samples of earlier steps are removed by
- * handle_expired().
+ * jobs_expire().
  */
 int
 journal_raise_fence(
@@ -162,13 +163,13 @@
 {
 	struct attachment *attachment;
 
-	if (job->attached == KWB_JOB_ATTACHMENTS_MAX)
+	if (job->attachments_count == KWB_JOB_ATTACHMENTS_MAX)
 		return false;
-	attachment = &job->attachments[job->attached++];
+	attachment = &job->attachments[job->attachments_count++];
 	attachment->link = link;
 	attachment->request = request;
 	attachment->sent_tokens = sent_tokens;
-	job->orphan_ns = 0;
+	job->orphan_deadline_ns = 0;
 	return true;
 }
 
@@ -183,18 +184,19 @@
 	unsigned i = 0;
 	bool found = false;
 
-	while (i < job->attached) {
+	while (i < job->attachments_count) {
 		attachment = &job->attachments[i];
 		if (attachment->link != link ||
 		    (request != 0 && attachment->request != request)) {
 			i++;
 			continue;
 		}
-		*attachment = job->attachments[--job->attached];
+		*attachment = job->attachments[--job->attachments_count];
 		found = true;
 	}
-	if (found && job->attached == 0)
-		job->orphan_ns = kwb_clock_now_ns() + KWB_JOB_ORPHAN_NS;
+	if (found && job->attachments_count == 0)
+		job->orphan_deadline_ns =
+		    kwb_clock_now_ns() + KWB_JOB_ORPHAN_NS;
 	return found;
 }
 
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -315,7 +315,7 @@
 	    kwb_share_fair(allowance, plan, keeper->members, count, self);
 	uint32_t held = keeper->members[self].units;
 
-	run_set_units(keeper->agent, plan, held < fair ? held : fair);
+	queue_set_units(keeper->agent, plan, held < fair ? held : fair);
 }
 
 /* Puts the units to hold next into the row; true when they changed. */
@@ -325,7 +325,7 @@
 {
 	unsigned self = 0;
 	unsigned count = members_load(keeper, plan, &self);
-	uint32_t running = run_plan_running(keeper->agent, plan);
+	uint32_t running = queue_count_running(keeper->agent, plan);
 	uint32_t held = keeper->members[self].units;
 	uint32_t fair =
 	    kwb_share_fair(allowance, plan, keeper->members, count, self);
@@ -366,7 +366,7 @@
 		if (allowance != NULL)
 			fair = kwb_share_fair(allowance->concurrent, plan,
 			    keeper->members, count, self);
-		run_set_units(keeper->agent, plan, held < fair ? held : fair);
+		queue_set_units(keeper->agent, plan, held < fair ? held : fair);
 	}
 	kwb_current_lists_read_unlock();
 }
--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -115,13 +115,13 @@
 		if (kwb_clock_now_ns() >= order->deadline_ns)
 			error = KWB_ERR_CALL_DEADLINE;
 	}
-	upstream_version(agent, wanted->model, &state);
+	upstream_find_model(agent, wanted->model, &state);
 	if (error == 0 && state.version < wanted->version) {
 		error = engine_swap(agent, wanted);
 		kwb_metric_add(
 		    error ? KWB_METRIC_SWAP_FAILURES : KWB_METRIC_SWAPS, 1);
-		upstream_watch(agent);
-		upstream_version(agent, wanted->model, &state);
+		upstream_poll(agent);
+		upstream_find_model(agent, wanted->model, &state);
 	}
 	reply->error = error;
 	reply->version = state.version;
