--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -68,7 +68,7 @@
 	if (error == 0)
 		error = kwb_loop_listen(&agent->loop, &address);
 	if (error == 0)
-		error = workers_start(agent);
+		error = run_start(agent);
 	if (error == 0 &&
 	    (pthread_create(&agent->monitor_thread, NULL, monitor_run, agent) ||
 		pthread_create(&agent->order_thread, NULL, order_run, agent) ||
@@ -106,7 +106,7 @@
 		kwb_clock_sleep_ns(MONITOR_PERIOD_NS / 4);
 	atomic_store(&agent->stopping, true);
 	agent_http_stop(agent);
-	workers_stop(agent);
+	run_stop(agent);
 	pthread_join(agent->monitor_thread, NULL);
 	pthread_join(agent->order_thread, NULL);
 	pthread_join(agent->share_thread, NULL);
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -198,8 +198,8 @@
 void job_send_done(struct kwb_agent *agent, struct job *job);
 
 /* run.c: queue and workers */
-int workers_start(struct kwb_agent *agent);
-void workers_stop(struct kwb_agent *agent);
+int run_start(struct kwb_agent *agent);
+void run_stop(struct kwb_agent *agent);
 int queue_check_admission(struct kwb_agent *agent, const Kwb__Wire__Run *run);
 void queue_add_job(struct kwb_agent *agent, struct job *job);
 uint32_t queue_count_jobs(struct kwb_agent *agent);
--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -31,7 +31,7 @@
 static void release_slot(struct kwb_agent *agent, const char *plan);
 
 int
-workers_start(struct kwb_agent *agent)
+run_start(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	unsigned i;
@@ -51,7 +51,7 @@
 }
 
 void
-workers_stop(struct kwb_agent *agent)
+run_stop(struct kwb_agent *agent)
 {
 	struct run_queue *queue = &agent->queue;
 	unsigned i;
