--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -207,7 +207,8 @@
 	/* Mostly a sign of life; the status now and then, and on changes. */
 	if (kwb_clock_now_ns() < atomic_load(&agent->status_until_ns) ||
 	    atomic_load(&agent->has_load_changed) ||
-	    atomic_fetch_add(&agent->heartbeats_sent, 1) % KWB_STATUS_BEATS ==
+	    atomic_fetch_add(&agent->unchanged_heartbeats, 1) %
+		    KWB_STATUS_BEATS ==
 		0) {
 		status_fill(agent, &message);
 		heartbeat.status = &message.status;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -150,7 +150,7 @@
 	_Atomic uint64_t
 	    status_until_ns; /* status goes out with beats until then */
 	_Atomic bool has_load_changed;
-	_Atomic uint32_t heartbeats_sent;
+	_Atomic uint32_t unchanged_heartbeats;
 	_Atomic bool stopping;
 	pthread_t monitor_thread;
 	pthread_t order_thread;
