--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -1,6 +1,7 @@
 /*
- * Agent: start, stop, links from entries, status. It says by itself that it
- * leaves, on every link and in every refusal.
+ * Start and stop of an agent, its links from entries, and the status that it
+ * sends on them. Entries learn from the agent itself that it is leaving: every
+ * status and every answer says so.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,9 +10,9 @@
 #include "agent.h"
 
 #define MONITOR_PERIOD_NS (100 * KWB_MS_NS)
-#define LEAVING_MIN_NS (1000 * KWB_MS_NS)
+#define LEAVING_MIN_NS (1000 * KWB_MS_NS) /* for entries to learn of it */
 #define LOAD_HISTORY_COUNT (KWB_HEARTBEAT_NS / MONITOR_PERIOD_NS)
-#define STATUS_REPEAT_NS (150 * KWB_MS_NS)
+#define STATUS_REPEAT_NS (150 * KWB_MS_NS) /* in heartbeats after a change */
 #define LISTED_LEAVING_TTL_NS (3 * KWB_HEARTBEAT_NS)
 
 /* A status message and the memory it points into. */
@@ -34,7 +35,7 @@
 static void status_fill(
     struct kwb_agent *agent, struct status_message *message);
 static void update_leaving(struct kwb_agent *agent);
-static uint64_t status_digest(struct kwb_agent *agent, uint64_t *load);
+static uint64_t status_digest(struct kwb_agent *agent, uint64_t *load_digest);
 static void *monitor_run(void *argument);
 
 static const struct kwb_link_ops link_ops = {
@@ -89,8 +90,9 @@
 }
 
 /*
- * Says that it leaves, lets calls run out, hands unfinished generations back
- * to their entries at a token's edge, then ends.
+ * Tells entries that the agent is leaving, and waits up to drain_ms for its
+ * jobs. Meanwhile jobs_expire() cancels generations after a while, so that
+ * entries resume them on other agents with the tokens so far.
  */
 void
 kwb_agent_stop(struct kwb_agent *agent)
@@ -117,6 +119,10 @@
 	free(agent);
 }
 
+/*
+ * Whether the agent shuts down, or is leaving by the platform's list. It takes
+ * no new keys then.
+ */
 bool
 agent_is_leaving(struct kwb_agent *agent)
 {
@@ -124,6 +130,7 @@
 	    kwb_clock_now_ns() < atomic_load(&agent->listed_leaving_until_ns);
 }
 
+/* Sends the hello, the first frame on each link. */
 static void
 on_open(void *context, uint64_t link, uint32_t tag)
 {
@@ -168,7 +175,7 @@
 		break;
 	case KWB__WIRE__FRAME__BODY_LISTS:
 		update_lists(frame->lists);
-		on_heartbeat(agent, link, 0);
+		on_heartbeat(agent, link, 0); /* tells the revision */
 		break;
 	case KWB__WIRE__FRAME__BODY_HELLO:
 		if (frame->hello->protocol != KWB_PROTOCOL)
@@ -204,7 +211,7 @@
 
 	(void)tag;
 	heartbeat.lists_revision = kwb_current_lists_revision();
-	/* Mostly a sign of life; the status now and then, and on changes. */
+	/* Most have no status; it is added after changes, and at times. */
 	if (kwb_clock_now_ns() < atomic_load(&agent->status_until_ns) ||
 	    atomic_load(&agent->has_load_changed) ||
 	    atomic_fetch_add(&agent->unchanged_heartbeats, 1) %
@@ -223,6 +230,7 @@
 	    lists->document.len, lists->revision);
 }
 
+/* Fills in a status; its pointers are valid as long as the message. */
 static void
 status_fill(struct kwb_agent *agent, struct status_message *message)
 {
@@ -254,7 +262,7 @@
 	for (i = 0; i < plans_count; i++) {
 		Kwb__Wire__PlanUse *use = &message->uses[status->n_plans];
 
-		/* What is not in a status holds nothing here. */
+		/* Entries take a plan that is left out as unused here. */
 		if (message->plans[i].units == 0 &&
 		    message->plans[i].running == 0)
 			continue;
@@ -268,7 +276,7 @@
 	status->plans = message->use_pointers;
 }
 
-/* Notes when leaving begins and ends, by a stop or by the platform's list. */
+/* Sets when leaving began, and logs when it begins or ends. */
 static void
 update_leaving(struct kwb_agent *agent)
 {
@@ -282,9 +290,13 @@
 	    is_leaving, atomic_load(&agent->is_draining));
 }
 
-/* A digest of what entries should hear of at once, and one of the load. */
+/*
+ * Returns a hash of the parts of the status that entries are told at once when
+ * they change. Sets load_digest to a hash of the load, whose changes go out
+ * with the next heartbeat.
+ */
 static uint64_t
-status_digest(struct kwb_agent *agent, uint64_t *load)
+status_digest(struct kwb_agent *agent, uint64_t *load_digest)
 {
 	struct status_message message;
 	uint64_t digest;
@@ -295,21 +307,24 @@
 	for (i = 0; i < message.status.n_versions; i++)
 		digest = digest * 31 + message.models[i].version * 2 +
 		    message.models[i].swapping;
-	*load = message.status.running + message.status.waiting;
+	*load_digest = message.status.running + message.status.waiting;
 	for (i = 0; i < message.status.n_plans; i++) {
 		digest = digest * 31 + message.uses[i].units;
-		*load = *load * 31 + message.uses[i].running;
+		*load_digest = *load_digest * 31 + message.uses[i].running;
 	}
 	return digest;
 }
 
-/* Reads the upstream and tidies the journal. */
+/*
+ * Thread that polls the upstream, expires jobs, and notices changes that
+ * entries have to be told.
+ */
 static void *
 monitor_run(void *argument)
 {
 	struct kwb_agent *agent = argument;
 
-	uint64_t digest, last_digest = 0, load,
+	uint64_t digest, last_digest = 0, load_digest,
 			 load_history[LOAD_HISTORY_COUNT] = {0};
 	unsigned period = 0;
 
@@ -317,11 +332,11 @@
 		upstream_poll(agent);
 		jobs_expire(agent);
 		update_leaving(agent);
-		digest = status_digest(agent, &load);
-		/* Against the load of a heartbeat ago. */
+		digest = status_digest(agent, &load_digest);
+		/* Compares with the load one heartbeat's period before. */
 		atomic_store(&agent->has_load_changed,
-		    load != load_history[period % LOAD_HISTORY_COUNT]);
-		load_history[period++ % LOAD_HISTORY_COUNT] = load;
+		    load_digest != load_history[period % LOAD_HISTORY_COUNT]);
+		load_history[period++ % LOAD_HISTORY_COUNT] = load_digest;
 		if (digest != last_digest) {
 			atomic_store(&agent->status_until_ns,
 			    kwb_clock_now_ns() + STATUS_REPEAT_NS);
