--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -1,6 +1,8 @@
 /*
- * Frames from entries: run, query, cancel, find. Every refusal is a typed
- * "not run"; a key whose state is asked for while unknown is barred first.
+ * Frames from entries: Run, Query, Cancel and Find. A refused request gets a
+ * Done frame with an error and an outcome: "not run" only if the request
+ * surely never runs here. So a query for an unknown key bars the key before it
+ * is answered, as a delayed Run could otherwise still start it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -30,6 +32,10 @@
     const Kwb__Wire__Find *find, Kwb__Wire__Held *held, unsigned held_capacity);
 static bool held_fill(Kwb__Wire__Held *held, const struct job *job);
 
+/*
+ * Queues a request as a job, attaches it to the job that has its key, or
+ * refuses it. Takes ownership of the frame.
+ */
 void
 handle_run(struct kwb_agent *agent, uint64_t link, Kwb__Wire__Frame *frame)
 {
@@ -67,6 +73,7 @@
 	kwb_frame_free(frame);
 }
 
+/* Attaches to the job of a key; bars the key if it is not known. */
 void
 handle_query(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Query *query)
@@ -102,6 +109,10 @@
 	journal_unlock(shard);
 }
 
+/*
+ * Detaches a request from its job. Cancels the job if no request is left,
+ * unless the entry asks to keep it.
+ */
 void
 handle_cancel(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Cancel *cancel)
@@ -123,6 +134,10 @@
 	}
 }
 
+/*
+ * Raises the fence of the plan to a new attempt at a step, and replies with the
+ * samples of that step that are held here.
+ */
 void
 handle_find(struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Find *find)
 {
@@ -155,6 +170,7 @@
 	free(pointers);
 }
 
+/* Detaches all requests of a link; jobs go on for a while. */
 void
 handle_link_closed(struct kwb_agent *agent, uint64_t link)
 {
@@ -174,7 +190,12 @@
 	}
 }
 
-/* Forgets old jobs, cancels orphans; called every so often. */
+/*
+ * Removes finished jobs that are no longer needed, and cancels generations that
+ * are too late or that no request waits for. When the agent has been leaving
+ * for a while, cancels all of them, so that entries resume them elsewhere.
+ * Called periodically.
+ */
 void
 jobs_expire(struct kwb_agent *agent)
 {
@@ -195,7 +216,7 @@
 			if (job_expire(
 				agent, shard, job, now_ns, is_handing_over))
 				continue;
-			/* Finished samples can be made again; calls not. */
+			/* A sample can be generated again; a call cannot. */
 			if (is_full && job->state == JOB_DONE &&
 			    job_is_sample(job))
 				journal_remove(&agent->journal, shard, job);
@@ -204,6 +225,7 @@
 	}
 }
 
+/* Sends new tokens to all attached requests. Called under the shard's lock. */
 void
 job_send_progress(struct kwb_agent *agent, struct job *job)
 {
@@ -213,6 +235,10 @@
 		send_progress_to(agent, job, &job->attachments[i]);
 }
 
+/*
+ * Sends new tokens and the outcome to all attached requests, and detaches them.
+ * Called under the shard's lock.
+ */
 void
 job_send_done(struct kwb_agent *agent, struct job *job)
 {
@@ -224,7 +250,7 @@
 	job->attachments_count = 0;
 }
 
-/* Why a key not seen before is not taken; 0 when it may be. */
+/* Returns why a request with a new key is refused; 0 if it is accepted. */
 static int
 run_check_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run)
 {
@@ -246,6 +272,10 @@
 	return queue_check_admission(agent, run);
 }
 
+/*
+ * Attaches a request to the job of its key. A higher attempt at a sample's step
+ * takes the job over from requests of lower attempts, which are refused.
+ */
 static void
 run_attach(struct kwb_agent *agent, uint64_t link, struct job *job,
     const Kwb__Wire__Run *run)
@@ -282,6 +312,7 @@
 	job_send_state(agent, job);
 }
 
+/* Adds a job for a new key and queues it. The job owns the frame. */
 static void
 run_insert(struct kwb_agent *agent, struct journal_shard *shard, uint64_t link,
     Kwb__Wire__Frame *frame)
@@ -330,7 +361,7 @@
 	kwb_link_send(&agent->loop, link, &frame);
 }
 
-/* A refusal from which the entry learns how full the agent is. */
+/* Refuses a request and tells the entry how busy the agent is. */
 static void
 refuse_with_load(struct kwb_agent *agent, uint64_t link,
     const Kwb__Wire__Run *run, int error)
@@ -349,6 +380,7 @@
 	kwb_link_send(&agent->loop, link, &frame);
 }
 
+/* Sends the lists to an entry that has an older revision. */
 static void
 send_lists(struct kwb_agent *agent, uint64_t link)
 {
@@ -365,6 +397,7 @@
 	kwb_buf_finish(&text);
 }
 
+/* Sends what there is of a job: its tokens so far or its outcome. */
 static void
 job_send_state(struct kwb_agent *agent, struct job *job)
 {
@@ -416,7 +449,7 @@
 	kwb_link_send(&agent->loop, attachment->link, &frame);
 }
 
-/* Returns true when the job was removed. */
+/* Removes or cancels a job if it is due; returns whether it was removed. */
 static bool
 job_expire(struct kwb_agent *agent, struct journal_shard *shard,
     struct job *job, uint64_t now_ns, bool is_handing_over)
@@ -441,6 +474,7 @@
 	return false;
 }
 
+/* Whether the trainer has gone on to a later step than the sample's. */
 static bool
 sample_is_outdated(struct journal *journal, const struct job *job)
 {
@@ -458,6 +492,7 @@
 	return is_outdated;
 }
 
+/* Fills in the usable samples of a step in one shard; returns how many. */
 static unsigned
 find_in_shard(struct journal_shard *shard, const Kwb__Wire__Find *find,
     Kwb__Wire__Held *held, unsigned held_capacity)
@@ -481,7 +516,10 @@
 	return count;
 }
 
-/* The copy is the caller's, because the job may go once its lock is let go. */
+/*
+ * Describes a sample; false if out of memory. Copies are made, which the caller
+ * frees, because the job may be removed once its shard is unlocked.
+ */
 static bool
 held_fill(Kwb__Wire__Held *held, const struct job *job)
 {
