--- a/src/agent/http.c
+++ b/src/agent/http.c
@@ -1,5 +1,5 @@
 /*
- * Counters and health of an agent over HTTP, where its settings ask for it.
+ * Metrics and health of an agent over HTTP, if its settings name an address.
  */
 #include <string.h>
 
@@ -10,6 +10,7 @@
 static int on_metrics(struct mg_connection *connection, void *context);
 static int on_health(struct mg_connection *connection, void *context);
 
+/* Starts the server; KWB_ERR_SYSTEM if it cannot listen on the address. */
 int
 agent_http_start(struct kwb_agent *agent)
 {
@@ -52,6 +53,7 @@
 	return 200;
 }
 
+/* Answers 200, or 503 while the agent is leaving. */
 static int
 on_health(struct mg_connection *connection, void *context)
 {
