--- a/src/agent/run.c
+++ b/src/agent/run.c
@@ -1,19 +1,23 @@
 /*
- * Queue and workers of an agent. A job starts when its plan holds a free unit
- * of its allowance here and the upstream has a free slot; interactive work
- * goes first, then the job with the least slack.
+ * Queue and workers of an agent. A job starts when its plan has a free unit of
+ * its allowance here and the upstream has a free slot. Interactive jobs start
+ * first, then those with the least slack.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "agent.h"
 
+/* Jobs that may wait beyond a plan's units. */
 #define INTERACTIVE_WAITING_MAX 0
 #define WAITING_MAX 1
+/* Longest sleep of a worker, with an empty queue and with waiting jobs. */
 #define IDLE_POLL_NS (1000 * KWB_MS_NS)
 #define WAITING_POLL_NS (5 * KWB_MS_NS)
+/* A job that has waited so long is refused. */
 #define INTERACTIVE_START_TIMEOUT_NS (20 * KWB_MS_NS)
 #define START_TIMEOUT_NS (60 * KWB_MS_NS)
+/* How long a slot stays taken when the upstream doesn't confirm the end. */
 #define LINGER_MAX_NS (60000 * KWB_MS_NS)
 #define LINGER_POLL_NS (100 * KWB_MS_NS)
 
@@ -30,6 +34,7 @@
 static void wait_until_ended(struct kwb_agent *agent, const char *key);
 static void release_slot(struct kwb_agent *agent, const char *plan);
 
+/* Starts a worker for each slot. KWB_ERR_MEMORY or KWB_ERR_SYSTEM. */
 int
 run_start(struct kwb_agent *agent)
 {
@@ -50,6 +55,7 @@
 	return 0;
 }
 
+/* Ends the workers. Waits for the jobs that they are running. */
 void
 run_stop(struct kwb_agent *agent)
 {
@@ -67,7 +73,7 @@
 	pthread_mutex_destroy(&queue->lock);
 }
 
-/* Whether there is a chance of a prompt start; 0 or a typed refusal. */
+/* Returns 0 if a request's job could start soon, else KWB_ERR_CALL_BUSY. */
 int
 queue_check_admission(struct kwb_agent *agent, const Kwb__Wire__Run *run)
 {
@@ -86,6 +92,7 @@
 	return error;
 }
 
+/* Queues a job. Called under its shard's lock. */
 void
 queue_add_job(struct kwb_agent *agent, struct job *job)
 {
@@ -104,17 +111,19 @@
 	pthread_mutex_unlock(&queue->lock);
 }
 
+/* The number of running and waiting jobs. */
 uint32_t
 queue_count_jobs(struct kwb_agent *agent)
 {
-	uint32_t busy;
+	uint32_t count;
 
 	pthread_mutex_lock(&agent->queue.lock);
-	busy = agent->queue.running_count + agent->queue.waiting_count;
+	count = agent->queue.running_count + agent->queue.waiting_count;
 	pthread_mutex_unlock(&agent->queue.lock);
-	return busy;
+	return count;
 }
 
+/* The number of running jobs without the lingering ones. */
 uint32_t
 queue_count_active(struct kwb_agent *agent)
 {
@@ -126,6 +135,7 @@
 	return count;
 }
 
+/* Sets how many jobs of a plan may run. Ignored if there are too many plans. */
 void
 queue_set_units(struct kwb_agent *agent, const char *plan, uint32_t units)
 {
@@ -139,6 +149,7 @@
 	pthread_mutex_unlock(&agent->queue.lock);
 }
 
+/* The number of running jobs of a plan. */
 uint32_t
 queue_count_running(struct kwb_agent *agent, const char *plan)
 {
@@ -152,6 +163,7 @@
 	return running;
 }
 
+/* Thread that runs jobs one by one. */
 static void *
 worker_run(void *argument)
 {
@@ -173,7 +185,7 @@
 	return NULL;
 }
 
-/* Waits for a job that may start; counts it as running; NULL at the end. */
+/* Waits for a job and counts it as running; NULL when the agent stops. */
 static struct job *
 take_next_job(struct kwb_agent *agent)
 {
@@ -204,8 +216,9 @@
 }
 
 /*
- * The job to start next. One that has waited too long is taken as well, to be
- * refused: its entry may know a better place.
+ * The job to take from the queue next; NULL for none. If none can start, it is
+ * one to refuse, cancelled or waiting for too long, so that its entry can try
+ * another agent.
  */
 static struct job *
 choose_waiting_job(struct kwb_agent *agent)
@@ -230,6 +243,7 @@
 	return NULL;
 }
 
+/* Whether the plan has a free unit and the upstream a slot for the job. */
 static bool
 can_start(const struct kwb_agent *agent, const struct job *job,
     const struct plan_use *use)
@@ -254,7 +268,7 @@
 	return a->slack_deadline_ns < b->slack_deadline_ns;
 }
 
-/* The plan's use here, made on first sight; NULL when the table is full. */
+/* The use of a plan, added if missing; NULL if there are too many plans. */
 static struct plan_use *
 plan_use_find_or_add(struct run_queue *queue, const char *plan)
 {
@@ -272,7 +286,7 @@
 	return use;
 }
 
-/* Last check before the upstream sees the job. */
+/* Checks a job once more and marks it as running; false to refuse it. */
 static bool
 begin_job(struct kwb_agent *agent, struct job *job)
 {
@@ -296,9 +310,9 @@
 }
 
 /*
- * Reports the outcome. Kept are plain calls, for retries of their key, and
- * whole samples, for a later attempt of their step. The place is given back
- * last, once the upstream surely no longer runs the request.
+ * Sends the outcome and ends a job. Plain calls stay in the journal for retries
+ * of their key, and complete samples for a later attempt at their step. The
+ * slot is released last, when the upstream no longer runs the request.
  */
 static void
 finish_job(struct kwb_agent *agent, struct job *job)
@@ -332,6 +346,10 @@
 	release_slot(agent, plan);
 }
 
+/*
+ * Waits until the upstream no longer runs a request that was given up, but at
+ * most LINGER_MAX_NS.
+ */
 static void
 wait_until_ended(struct kwb_agent *agent, const char *key)
 {
