--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -1,6 +1,7 @@
 /*
- * Client of the upstream beside this agent: generation streams and load of a
- * model engine, calls and health of a plain service.
+ * Client of the agent's upstream. From a model engine it requests generations,
+ * as streams, and reads its load; to a plain service it sends calls and polls
+ * its health.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,17 +12,17 @@
 #include "agent.h"
 
 #define URL_MAX_BYTES 512
-#define DOWN_FAILURES 2
+#define DOWN_FAILURES 2 /* of polls in a row; then the upstream is down */
 #define POLL_TIMEOUT_MS 1000
 
-/* A generation stream being read: server-sent events, one line at a time. */
+/* A generation that is read as a stream of server-sent events. */
 struct stream {
 	struct kwb_agent *agent;
 	struct job *job;
-	struct kwb_buf line;
-	uint64_t assumed_version; /* for tokens whose event names none */
-	bool is_version_assumed;
-	bool is_finished;
+	struct kwb_buf line;	  /* the part of a line received so far */
+	uint64_t assumed_version; /* for events that name no version */
+	bool is_version_assumed;  /* for at least one token */
+	bool is_finished;	  /* the last event has been received */
 };
 
 static char *print_generate_body(const struct job *job);
@@ -35,6 +36,7 @@
     const struct kwb_http_answer *answer, const struct model_state *before);
 static void parse_load(struct kwb_agent *agent, const char *text);
 
+/* Runs a generation and sets the outcome of its job. */
 void
 upstream_generate(struct kwb_agent *agent, struct job *job)
 {
@@ -75,6 +77,7 @@
 	free(body);
 }
 
+/* Runs a plain call and sets the outcome and the answer of its job. */
 void
 upstream_call(struct kwb_agent *agent, struct job *job)
 {
@@ -114,9 +117,10 @@
 }
 
 /*
- * Whether a broken-off request surely no longer runs at the upstream: an
- * engine is told to cancel it and answers, a service reports no more running
- * than can be accounted for. An upstream that is gone runs nothing.
+ * Whether the upstream surely no longer runs a request that was given up. An
+ * engine is told to cancel it, and has ended it when it answers. A service has
+ * ended it when it reports no more running requests than there are active jobs.
+ * An upstream that is down runs nothing.
  */
 bool
 upstream_request_has_ended(struct kwb_agent *agent, const char *key)
@@ -149,7 +153,7 @@
 	return has_ended;
 }
 
-/* Reads load and versions, or the health of a service, once. */
+/* Reads an engine's load and versions, or a service's health, once. */
 void
 upstream_poll(struct kwb_agent *agent)
 {
@@ -181,6 +185,10 @@
 	kwb_http_answer_finish(&answer);
 }
 
+/*
+ * Copies the state of a model at the last poll. False if the upstream doesn't
+ * have it; then *state may be that of another model.
+ */
 bool
 upstream_find_model(
     struct kwb_agent *agent, const char *model, struct model_state *state)
@@ -197,6 +205,7 @@
 	return found;
 }
 
+/* The JSON body of a generation request; the caller frees it. */
 static char *
 print_generate_body(const struct job *job)
 {
@@ -217,6 +226,7 @@
 	return text;
 }
 
+/* Splits received data into lines; false ends the request. */
 static bool
 stream_on_data(void *context, const char *data, size_t length_bytes)
 {
@@ -244,6 +254,7 @@
 	return atomic_load(&stream->job->cancelled);
 }
 
+/* Handles a line of the stream; lines other than data are ignored. */
 static void
 stream_parse_line(struct stream *stream, const char *line)
 {
@@ -268,6 +279,10 @@
 	json_decref(root);
 }
 
+/*
+ * Adds a token and sends it on, of samples at most every KWB_PROGRESS_NS.
+ * Tokens whose version is assumed are not sent yet, as they may be discarded.
+ */
 static void
 stream_add_token(struct stream *stream, const char *text, uint64_t version)
 {
@@ -287,9 +302,10 @@
 }
 
 /*
- * Without versions in the stream, the agent's reads before and after bracket
- * it; when they differ, which token came from which is not known, and the
- * output is thrown away.
+ * Sets the outcome of a generation. If events named no version, the version
+ * that was polled before the stream is assumed. It is polled again here: if it
+ * has changed, it is not known which version made which token, and the tokens
+ * are discarded.
  */
 static void
 generate_set_outcome(struct stream *stream, int error,
@@ -327,7 +343,7 @@
 	journal_unlock(shard);
 }
 
-/* Called under the state's lock. */
+/* Reads the answer to a poll into the upstream's state, under its lock. */
 static void
 parse_load(struct kwb_agent *agent, const char *text)
 {
