--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -73,7 +73,7 @@
 	kwb_frame_free(frame);
 }
 
-/* Attaches to the job of a key; bars the key if it is not known. */
+/* Attaches a request to the job of a key; bars the key if it has none. */
 void
 handle_query(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Query *query)
@@ -216,7 +216,7 @@
 			if (job_expire(
 				agent, shard, job, now_ns, is_handing_over))
 				continue;
-			/* A sample can be generated again; a call cannot. */
+			/* A sample may be generated again, a call may not. */
 			if (is_full && job->state == JOB_DONE &&
 			    job_is_sample(job))
 				journal_remove(&agent->journal, shard, job);
