--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -1,6 +1,7 @@
 /*
- * Agent: start, stop, links from entries, status. It says by itself that it
- * leaves, on every link and in every refusal.
+ * Start and stop of an agent, its links from entries, and the status that it
+ * sends on them. Entries learn from the agent itself that it is leaving: every
+ * status and every answer says so.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,11 +9,11 @@
 
 #include "agent.h"
 
-#define WATCH_NS (100 * KWB_MS_NS)
-#define LEAVE_NOTICE_NS (1000 * KWB_MS_NS)
-#define LOAD_WATCHES (KWB_HEARTBEAT_NS / WATCH_NS)
-#define STATUS_NS (150 * KWB_MS_NS)
-#define LISTED_NS (3 * KWB_HEARTBEAT_NS)
+#define MONITOR_PERIOD_NS (100 * KWB_MS_NS)
+#define LEAVING_MIN_NS (1000 * KWB_MS_NS) /* for entries to learn of it */
+#define LOAD_HISTORY_COUNT (KWB_HEARTBEAT_NS / MONITOR_PERIOD_NS)
+#define STATUS_REPEAT_NS (150 * KWB_MS_NS) /* in heartbeats after a change */
+#define LISTED_LEAVING_TTL_NS (3 * KWB_HEARTBEAT_NS)
 
 /* A status message and the memory it points into. */
 struct status_message {
@@ -30,12 +31,12 @@
     void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame);
 static void on_close(void *context, uint64_t link, uint32_t tag);
 static void on_heartbeat(void *context, uint64_t link, uint32_t tag);
-static void on_lists(const Kwb__Wire__Lists *lists);
+static void update_lists(const Kwb__Wire__Lists *lists);
 static void status_fill(
     struct kwb_agent *agent, struct status_message *message);
-static void leaving_update(struct kwb_agent *agent);
-static uint64_t status_digest(struct kwb_agent *agent, uint64_t *load);
-static void *watch_run(void *argument);
+static void update_leaving(struct kwb_agent *agent);
+static uint64_t status_digest(struct kwb_agent *agent, uint64_t *load_digest);
+static void *monitor_run(void *argument);
 
 static const struct kwb_link_ops link_ops = {
     .on_open = on_open,
@@ -70,7 +71,7 @@
 	if (error == 0)
 		error = run_start(agent);
 	if (error == 0 &&
-	    (pthread_create(&agent->watch_thread, NULL, watch_run, agent) ||
+	    (pthread_create(&agent->monitor_thread, NULL, monitor_run, agent) ||
 		pthread_create(&agent->order_thread, NULL, order_run, agent) ||
 		pthread_create(&agent->share_thread, NULL, share_run, agent)))
 		error = KWB_ERR_SYSTEM;
@@ -89,24 +90,26 @@
 }
 
 /*
- * Says that it leaves, lets calls run out, hands unfinished generations back
- * to their entries at a token's edge, then ends.
+ * Tells entries that the agent is leaving, and waits up to drain_ms for its
+ * jobs. Meanwhile jobs_expire() cancels generations after a while, so that
+ * entries resume them on other agents with the tokens so far.
  */
 void
 kwb_agent_stop(struct kwb_agent *agent)
 {
 	uint64_t deadline_ns =
 	    kwb_clock_now_ns() + agent->settings->drain_ms * KWB_MS_NS;
-	uint64_t notice_ns = kwb_clock_now_ns() + LEAVE_NOTICE_NS;
+	uint64_t leaving_min_ns = kwb_clock_now_ns() + LEAVING_MIN_NS;
 
-	atomic_store(&agent->ending, true);
+	atomic_store(&agent->is_draining, true);
 	while (kwb_clock_now_ns() < deadline_ns &&
-	    (run_busy(agent) > 0 || kwb_clock_now_ns() < notice_ns))
-		kwb_clock_sleep_ns(WATCH_NS / 4);
+	    (queue_count_jobs(agent) > 0 ||
+		kwb_clock_now_ns() < leaving_min_ns))
+		kwb_clock_sleep_ns(MONITOR_PERIOD_NS / 4);
 	atomic_store(&agent->stopping, true);
 	agent_http_stop(agent);
 	run_stop(agent);
-	pthread_join(agent->watch_thread, NULL);
+	pthread_join(agent->monitor_thread, NULL);
 	pthread_join(agent->order_thread, NULL);
 	pthread_join(agent->share_thread, NULL);
 	share_leave(agent);
@@ -116,13 +119,18 @@
 	free(agent);
 }
 
+/*
+ * Whether the agent shuts down, or is leaving by the platform's list. It takes
+ * no new keys then.
+ */
 bool
-agent_leaving(struct kwb_agent *agent)
+agent_is_leaving(struct kwb_agent *agent)
 {
-	return atomic_load(&agent->ending) ||
-	    kwb_clock_now_ns() < atomic_load(&agent->listed_ns);
+	return atomic_load(&agent->is_draining) ||
+	    kwb_clock_now_ns() < atomic_load(&agent->listed_leaving_until_ns);
 }
 
+/* Sends the hello, the first frame on each link. */
 static void
 on_open(void *context, uint64_t link, uint32_t tag)
 {
@@ -166,8 +174,8 @@
 		handle_find(agent, link, frame->find);
 		break;
 	case KWB__WIRE__FRAME__BODY_LISTS:
-		on_lists(frame->lists);
-		on_heartbeat(agent, link, 0);
+		update_lists(frame->lists);
+		on_heartbeat(agent, link, 0); /* tells the revision */
 		break;
 	case KWB__WIRE__FRAME__BODY_HELLO:
 		if (frame->hello->protocol != KWB_PROTOCOL)
@@ -177,8 +185,8 @@
 		kwb_link_pace(&agent->loop, link,
 		    frame->heartbeat->period_ms * KWB_MS_NS);
 		if (frame->heartbeat->listed_leaving)
-			atomic_store(
-			    &agent->listed_ns, kwb_clock_now_ns() + LISTED_NS);
+			atomic_store(&agent->listed_leaving_until_ns,
+			    kwb_clock_now_ns() + LISTED_LEAVING_TTL_NS);
 		break;
 	default:
 		break;
@@ -203,10 +211,12 @@
 
 	(void)tag;
 	heartbeat.lists_revision = kwb_current_lists_revision();
-	/* Mostly a sign of life; the status now and then, and on changes. */
-	if (kwb_clock_now_ns() < atomic_load(&agent->status_ns) ||
-	    atomic_load(&agent->load_changed) ||
-	    atomic_fetch_add(&agent->beats, 1) % KWB_STATUS_BEATS == 0) {
+	/* Most have no status; it is added after changes, and at times. */
+	if (kwb_clock_now_ns() < atomic_load(&agent->status_until_ns) ||
+	    atomic_load(&agent->has_load_changed) ||
+	    atomic_fetch_add(&agent->unchanged_heartbeats, 1) %
+		    KWB_STATUS_BEATS ==
+		0) {
 		status_fill(agent, &message);
 		heartbeat.status = &message.status;
 	}
@@ -214,20 +224,21 @@
 }
 
 static void
-on_lists(const Kwb__Wire__Lists *lists)
+update_lists(const Kwb__Wire__Lists *lists)
 {
 	kwb_current_lists_update((const char *)lists->document.data,
 	    lists->document.len, lists->revision);
 }
 
+/* Fills in a status; its pointers are valid as long as the message. */
 static void
 status_fill(struct kwb_agent *agent, struct status_message *message)
 {
 	Kwb__Wire__Status *status = &message->status;
-	unsigned i, agent_plans;
+	unsigned i, plans_count;
 
 	kwb__wire__status__init(status);
-	status->leaving = agent_leaving(agent);
+	status->leaving = agent_is_leaving(agent);
 	status->slots = agent->settings->slots;
 	pthread_mutex_lock(&agent->upstream.lock);
 	status->upstream_up = agent->upstream.up;
@@ -238,7 +249,7 @@
 	pthread_mutex_lock(&agent->queue.lock);
 	status->running = agent->queue.running_count;
 	status->waiting = agent->queue.waiting_count;
-	agent_plans = agent->queue.plans_count;
+	plans_count = agent->queue.plans_count;
 	memcpy(message->plans, agent->queue.plans, sizeof(message->plans));
 	pthread_mutex_unlock(&agent->queue.lock);
 	for (i = 0; i < status->n_versions; i++) {
@@ -248,10 +259,10 @@
 		message->versions[i].swapping = message->models[i].swapping;
 		message->version_pointers[i] = &message->versions[i];
 	}
-	for (i = 0; i < agent_plans; i++) {
+	for (i = 0; i < plans_count; i++) {
 		Kwb__Wire__PlanUse *use = &message->uses[status->n_plans];
 
-		/* What is not in a status holds nothing here. */
+		/* Entries take a plan that is left out as unused here. */
 		if (message->plans[i].units == 0 &&
 		    message->plans[i].running == 0)
 			continue;
@@ -265,22 +276,27 @@
 	status->plans = message->use_pointers;
 }
 
-/* Notes when leaving begins and ends, by a stop or by the platform's list. */
+/* Sets when leaving began, and logs when it begins or ends. */
 static void
-leaving_update(struct kwb_agent *agent)
+update_leaving(struct kwb_agent *agent)
 {
-	bool now = agent_leaving(agent);
+	bool is_leaving = agent_is_leaving(agent);
 
-	if (now == (atomic_load(&agent->leaving_ns) != 0))
+	if (is_leaving == (atomic_load(&agent->leaving_since_ns) != 0))
 		return;
-	atomic_store(&agent->leaving_ns, now ? kwb_clock_now_ns() : 0);
-	kwb_log(KWB_LOG_INFO, "agent", "event=leaving now=%d ending=%d", now,
-	    atomic_load(&agent->ending));
+	atomic_store(
+	    &agent->leaving_since_ns, is_leaving ? kwb_clock_now_ns() : 0);
+	kwb_log(KWB_LOG_INFO, "agent", "event=leaving now=%d ending=%d",
+	    is_leaving, atomic_load(&agent->is_draining));
 }
 
-/* A digest of what entries should hear of at once, and one of the load. */
+/*
+ * Returns a hash of the parts of the status that entries are told at once when
+ * they change. Sets load_digest to a hash of the load, whose changes go out
+ * with the next heartbeat.
+ */
 static uint64_t
-status_digest(struct kwb_agent *agent, uint64_t *load)
+status_digest(struct kwb_agent *agent, uint64_t *load_digest)
 {
 	struct status_message message;
 	uint64_t digest;
@@ -291,39 +307,43 @@
 	for (i = 0; i < message.status.n_versions; i++)
 		digest = digest * 31 + message.models[i].version * 2 +
 		    message.models[i].swapping;
-	*load = message.status.running + message.status.waiting;
+	*load_digest = message.status.running + message.status.waiting;
 	for (i = 0; i < message.status.n_plans; i++) {
 		digest = digest * 31 + message.uses[i].units;
-		*load = *load * 31 + message.uses[i].running;
+		*load_digest = *load_digest * 31 + message.uses[i].running;
 	}
 	return digest;
 }
 
-/* Reads the upstream and tidies the journal. */
+/*
+ * Thread that polls the upstream, expires jobs, and notices changes that
+ * entries have to be told.
+ */
 static void *
-watch_run(void *argument)
+monitor_run(void *argument)
 {
 	struct kwb_agent *agent = argument;
 
-	uint64_t digest, last_digest = 0, load, last_load[LOAD_WATCHES] = {0};
-	unsigned watch = 0;
+	uint64_t digest, last_digest = 0, load_digest,
+			 load_history[LOAD_HISTORY_COUNT] = {0};
+	unsigned period = 0;
 
 	while (!atomic_load(&agent->stopping)) {
-		upstream_watch(agent);
-		handle_expired(agent);
-		leaving_update(agent);
-		digest = status_digest(agent, &load);
-		/* Against the load of a heartbeat ago. */
-		atomic_store(&agent->load_changed,
-		    load != last_load[watch % LOAD_WATCHES]);
-		last_load[watch++ % LOAD_WATCHES] = load;
+		upstream_poll(agent);
+		jobs_expire(agent);
+		update_leaving(agent);
+		digest = status_digest(agent, &load_digest);
+		/* Compares with the load one heartbeat's period before. */
+		atomic_store(&agent->has_load_changed,
+		    load_digest != load_history[period % LOAD_HISTORY_COUNT]);
+		load_history[period++ % LOAD_HISTORY_COUNT] = load_digest;
 		if (digest != last_digest) {
-			atomic_store(
-			    &agent->status_ns, kwb_clock_now_ns() + STATUS_NS);
+			atomic_store(&agent->status_until_ns,
+			    kwb_clock_now_ns() + STATUS_REPEAT_NS);
 			kwb_loop_beat(&agent->loop);
 		}
 		last_digest = digest;
-		kwb_clock_sleep_ns(WATCH_NS);
+		kwb_clock_sleep_ns(MONITOR_PERIOD_NS);
 	}
 	return NULL;
 }
--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -1,13 +1,16 @@
 /*
- * Frames from entries: run, query, cancel, find. Every refusal is a typed
- * "not run"; a key whose state is asked for while unknown is barred first.
+ * Frames from entries: Run, Query, Cancel and Find. A refused request gets a
+ * Done frame with an error and an outcome: "not run" only if the request
+ * surely never runs here. So a query for an unknown key bars the key before it
+ * is answered, as a delayed Run could otherwise still start it.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "agent.h"
 
-static int run_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run);
+static int run_check_refusal(
+    struct kwb_agent *agent, const Kwb__Wire__Run *run);
 static void run_attach(struct kwb_agent *agent, uint64_t link, struct job *job,
     const Kwb__Wire__Run *run);
 static void run_insert(struct kwb_agent *agent, struct journal_shard *shard,
@@ -18,17 +21,21 @@
     const Kwb__Wire__Run *run, int error);
 static void send_lists(struct kwb_agent *agent, uint64_t link);
 static void send_progress_to(
-    struct kwb_agent *agent, struct job *job, struct attachment *to);
+    struct kwb_agent *agent, struct job *job, struct attachment *attachment);
 static void send_done_to(struct kwb_agent *agent, const struct job *job,
-    const struct attachment *to);
-static void job_replay(struct kwb_agent *agent, struct job *job);
+    const struct attachment *attachment);
+static void job_send_state(struct kwb_agent *agent, struct job *job);
 static bool job_expire(struct kwb_agent *agent, struct journal_shard *shard,
-    struct job *job, uint64_t now_ns, bool hand_over);
-static bool sample_is_past(struct journal *journal, const struct job *job);
+    struct job *job, uint64_t now_ns, bool is_handing_over);
+static bool sample_is_outdated(struct journal *journal, const struct job *job);
 static unsigned find_in_shard(struct journal_shard *shard,
-    const Kwb__Wire__Find *find, Kwb__Wire__Held *held, unsigned room);
+    const Kwb__Wire__Find *find, Kwb__Wire__Held *held, unsigned held_capacity);
 static bool held_fill(Kwb__Wire__Held *held, const struct job *job);
 
+/*
+ * Queues a request as a job, attaches it to the job that has its key, or
+ * refuses it. Takes ownership of the frame.
+ */
 void
 handle_run(struct kwb_agent *agent, uint64_t link, Kwb__Wire__Frame *frame)
 {
@@ -56,7 +63,7 @@
 		    KWB_ERR_CALL_INCARNATION);
 	} else if (job != NULL) {
 		run_attach(agent, link, job, run);
-	} else if ((error = run_refusal(agent, run)) != 0) {
+	} else if ((error = run_check_refusal(agent, run)) != 0) {
 		refuse_with_load(agent, link, run, error);
 	} else {
 		run_insert(agent, shard, link, frame);
@@ -66,6 +73,7 @@
 	kwb_frame_free(frame);
 }
 
+/* Attaches a request to the job of a key; bars the key if it has none. */
 void
 handle_query(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Query *query)
@@ -94,13 +102,17 @@
 		refuse(agent, link, query->request, KWB_OUTCOME_NOT_RUN,
 		    KWB_ERR_CALL_BARRED);
 	else if (job_attach(job, link, query->request, 0))
-		job_replay(agent, job);
+		job_send_state(agent, job);
 	else
 		refuse(agent, link, query->request, KWB_OUTCOME_UNKNOWN,
 		    KWB_ERR_CALL_BUSY);
 	journal_unlock(shard);
 }
 
+/*
+ * Detaches a request from its job. Cancels the job if no request is left,
+ * unless the entry asks to keep it.
+ */
 void
 handle_cancel(
     struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Cancel *cancel)
@@ -115,13 +127,17 @@
 		TAILQ_FOREACH (job, &shard->jobs, in_shard) {
 			if (!job_detach(job, link, cancel->request))
 				continue;
-			if (!cancel->keep && job->attached == 0)
+			if (!cancel->keep && job->attachments_count == 0)
 				atomic_store(&job->cancelled, true);
 		}
 		pthread_mutex_unlock(&shard->lock);
 	}
 }
 
+/*
+ * Raises the fence of the plan to a new attempt at a step, and replies with the
+ * samples of that step that are held here.
+ */
 void
 handle_find(struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Find *find)
 {
@@ -129,18 +145,18 @@
 	KWB_FRAME(frame, FOUND, found, found);
 	Kwb__Wire__Held *held;
 	Kwb__Wire__Held **pointers;
-	unsigned i, count = 0, room;
+	unsigned i, count = 0, held_capacity;
 
 	if (journal_raise_fence(
 		&agent->journal, find->plan, find->step, find->attempt) != 0)
 		kwb_metric_add(KWB_METRIC_FENCED, 1);
-	room = atomic_load(&agent->journal.count) + 1;
-	held = calloc(room, sizeof(*held));
-	pointers = calloc(room, sizeof(*pointers));
+	held_capacity = atomic_load(&agent->journal.count) + 1;
+	held = calloc(held_capacity, sizeof(*held));
+	pointers = calloc(held_capacity, sizeof(*pointers));
 	found.request = find->request;
 	for (i = 0; i < KWB_SHARDS && held != NULL; i++)
 		count += find_in_shard(&agent->journal.shards[i], find,
-		    held + count, room - count);
+		    held + count, held_capacity - count);
 	for (i = 0; i < count && pointers != NULL; i++)
 		pointers[i] = &held[i];
 	found.n_held = pointers ? count : 0;
@@ -154,6 +170,7 @@
 	free(pointers);
 }
 
+/* Detaches all requests of a link; jobs go on for a while. */
 void
 handle_link_closed(struct kwb_agent *agent, uint64_t link)
 {
@@ -173,15 +190,20 @@
 	}
 }
 
-/* Forgets old jobs, cancels orphans; called every so often. */
+/*
+ * Removes finished jobs that are no longer needed, and cancels generations that
+ * are too late or that no request waits for. When the agent has been leaving
+ * for a while, cancels all of them, so that entries resume them elsewhere.
+ * Called periodically.
+ */
 void
-handle_expired(struct kwb_agent *agent)
+jobs_expire(struct kwb_agent *agent)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	uint64_t leaving_ns = atomic_load(&agent->leaving_ns);
-	bool hand_over =
-	    leaving_ns != 0 && now_ns >= leaving_ns + KWB_JOB_ORPHAN_NS / 4;
-	bool full = journal_is_full(&agent->journal);
+	uint64_t leaving_since_ns = atomic_load(&agent->leaving_since_ns);
+	bool is_handing_over = leaving_since_ns != 0 &&
+	    now_ns >= leaving_since_ns + KWB_JOB_ORPHAN_NS / 4;
+	bool is_full = journal_is_full(&agent->journal);
 	struct job *job, *next;
 	unsigned i;
 
@@ -191,10 +213,11 @@
 		pthread_mutex_lock(&shard->lock);
 		for (job = TAILQ_FIRST(&shard->jobs); job != NULL; job = next) {
 			next = TAILQ_NEXT(job, in_shard);
-			if (job_expire(agent, shard, job, now_ns, hand_over))
+			if (job_expire(
+				agent, shard, job, now_ns, is_handing_over))
 				continue;
-			/* Finished samples can be made again; calls not. */
-			if (full && job->state == JOB_DONE &&
+			/* A sample may be generated again, a call may not. */
+			if (is_full && job->state == JOB_DONE &&
 			    job_is_sample(job))
 				journal_remove(&agent->journal, shard, job);
 		}
@@ -202,31 +225,36 @@
 	}
 }
 
+/* Sends new tokens to all attached requests. Called under the shard's lock. */
 void
 job_send_progress(struct kwb_agent *agent, struct job *job)
 {
 	unsigned i;
 
-	for (i = 0; i < job->attached; i++)
+	for (i = 0; i < job->attachments_count; i++)
 		send_progress_to(agent, job, &job->attachments[i]);
 }
 
+/*
+ * Sends new tokens and the outcome to all attached requests, and detaches them.
+ * Called under the shard's lock.
+ */
 void
 job_send_done(struct kwb_agent *agent, struct job *job)
 {
 	unsigned i;
 
 	job_send_progress(agent, job);
-	for (i = 0; i < job->attached; i++)
+	for (i = 0; i < job->attachments_count; i++)
 		send_done_to(agent, job, &job->attachments[i]);
-	job->attached = 0;
+	job->attachments_count = 0;
 }
 
-/* Why a key not seen before is not taken; 0 when it may be. */
+/* Returns why a request with a new key is refused; 0 if it is accepted. */
 static int
-run_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run)
+run_check_refusal(struct kwb_agent *agent, const Kwb__Wire__Run *run)
 {
-	if (agent_leaving(agent))
+	if (agent_is_leaving(agent))
 		return KWB_ERR_CALL_LEAVING;
 	if (run->lists_revision > kwb_current_lists_revision())
 		return KWB_ERR_LISTS_NONE;
@@ -241,9 +269,13 @@
 	}
 	if (journal_is_full(&agent->journal))
 		return KWB_ERR_CALL_BUSY;
-	return run_admit(agent, run);
+	return queue_check_admission(agent, run);
 }
 
+/*
+ * Attaches a request to the job of its key. A higher attempt at a sample's step
+ * takes the job over from requests of lower attempts, which are refused.
+ */
 static void
 run_attach(struct kwb_agent *agent, uint64_t link, struct job *job,
     const Kwb__Wire__Run *run)
@@ -263,11 +295,11 @@
 		return;
 	}
 	if (attempt > job->attempt) {
-		for (i = 0; i < job->attached; i++)
+		for (i = 0; i < job->attachments_count; i++)
 			refuse(agent, job->attachments[i].link,
 			    job->attachments[i].request, KWB_OUTCOME_NOT_RUN,
 			    KWB_ERR_CALL_FENCED);
-		job->attached = 0;
+		job->attachments_count = 0;
 		job->attempt = attempt;
 	}
 	if (!job_attach(job, link, run->request, 0)) {
@@ -277,9 +309,10 @@
 	}
 	kwb_log(KWB_LOG_INFO, "agent", "event=attach key=%s state=%d", job->key,
 	    job->state);
-	job_replay(agent, job);
+	job_send_state(agent, job);
 }
 
+/* Adds a job for a new key and queues it. The job owns the frame. */
 static void
 run_insert(struct kwb_agent *agent, struct journal_shard *shard, uint64_t link,
     Kwb__Wire__Frame *frame)
@@ -309,7 +342,7 @@
 		    run->n_resume_spans ? run->resume_spans[span]->version : 0);
 	}
 	job_attach(job, link, run->request, (uint32_t)run->n_resume);
-	run_enqueue(agent, job);
+	queue_add_job(agent, job);
 }
 
 static void
@@ -322,13 +355,13 @@
 	done.request = request;
 	done.outcome = outcome;
 	done.error = error;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	kwb_log(KWB_LOG_DEBUG, "agent", "event=refuse request=%llu error=%s",
 	    (unsigned long long)request, kwb_error_name(error));
 	kwb_link_send(&agent->loop, link, &frame);
 }
 
-/* A refusal from which the entry learns how full the agent is. */
+/* Refuses a request and tells the entry how busy the agent is. */
 static void
 refuse_with_load(struct kwb_agent *agent, uint64_t link,
     const Kwb__Wire__Run *run, int error)
@@ -340,13 +373,14 @@
 	done.outcome = error == KWB_ERR_CALL_FORGOTTEN ? KWB_OUTCOME_UNKNOWN
 						       : KWB_OUTCOME_NOT_RUN;
 	done.error = error;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	done.plan = run->plan;
-	done.plan_running = run_plan_running(agent, run->plan);
-	done.busy = run_busy(agent);
+	done.plan_running = queue_count_running(agent, run->plan);
+	done.busy = queue_count_jobs(agent);
 	kwb_link_send(&agent->loop, link, &frame);
 }
 
+/* Sends the lists to an entry that has an older revision. */
 static void
 send_lists(struct kwb_agent *agent, uint64_t link)
 {
@@ -363,8 +397,9 @@
 	kwb_buf_finish(&text);
 }
 
+/* Sends what there is of a job: its tokens so far or its outcome. */
 static void
-job_replay(struct kwb_agent *agent, struct job *job)
+job_send_state(struct kwb_agent *agent, struct job *job)
 {
 	if (job->state == JOB_DONE)
 		job_send_done(agent, job);
@@ -374,75 +409,77 @@
 
 static void
 send_progress_to(
-    struct kwb_agent *agent, struct job *job, struct attachment *to)
+    struct kwb_agent *agent, struct job *job, struct attachment *attachment)
 {
 	Kwb__Wire__Progress progress = KWB__WIRE__PROGRESS__INIT;
 	KWB_FRAME(frame, PROGRESS, progress, progress);
 	struct wire_span_list spans;
 
-	if (to->sent_tokens >= job->tokens.count)
+	if (attachment->sent_tokens >= job->tokens.count)
 		return;
-	progress.request = to->request;
-	progress.first = to->sent_tokens;
-	progress.tokens = job->tokens.text + to->sent_tokens;
-	progress.n_tokens = job->tokens.count - to->sent_tokens;
-	progress.n_spans = wire_spans(&job->tokens, to->sent_tokens, &spans);
+	progress.request = attachment->request;
+	progress.first = attachment->sent_tokens;
+	progress.tokens = job->tokens.text + attachment->sent_tokens;
+	progress.n_tokens = job->tokens.count - attachment->sent_tokens;
+	progress.n_spans =
+	    wire_spans(&job->tokens, attachment->sent_tokens, &spans);
 	progress.spans = spans.pointers;
-	if (kwb_link_send(&agent->loop, to->link, &frame) == 0)
-		to->sent_tokens = job->tokens.count;
+	if (kwb_link_send(&agent->loop, attachment->link, &frame) == 0)
+		attachment->sent_tokens = job->tokens.count;
 }
 
 static void
-send_done_to(
-    struct kwb_agent *agent, const struct job *job, const struct attachment *to)
+send_done_to(struct kwb_agent *agent, const struct job *job,
+    const struct attachment *attachment)
 {
 	Kwb__Wire__Done done = KWB__WIRE__DONE__INIT;
 	KWB_FRAME(frame, DONE, done, done);
 
-	done.request = to->request;
+	done.request = attachment->request;
 	done.outcome = job->outcome;
 	done.error = job->error;
 	done.status = job->status;
 	done.content_type = (char *)job->content_type;
 	done.body.data = (uint8_t *)job->body.data;
 	done.body.len = job->body.used_bytes;
-	done.leaving = agent_leaving(agent);
+	done.leaving = agent_is_leaving(agent);
 	done.plan = (char *)job->plan;
-	done.plan_running = run_plan_running(agent, job->plan);
-	done.busy = run_busy(agent);
-	kwb_link_send(&agent->loop, to->link, &frame);
+	done.plan_running = queue_count_running(agent, job->plan);
+	done.busy = queue_count_jobs(agent);
+	kwb_link_send(&agent->loop, attachment->link, &frame);
 }
 
-/* Returns true when the job was removed. */
+/* Removes or cancels a job if it is due; returns whether it was removed. */
 static bool
 job_expire(struct kwb_agent *agent, struct journal_shard *shard,
-    struct job *job, uint64_t now_ns, bool hand_over)
+    struct job *job, uint64_t now_ns, bool is_handing_over)
 {
-	bool generation = job->frame != NULL && job->frame->run->model[0];
-	bool orphan = job->orphan_ns != 0 &&
-	    (now_ns >= job->orphan_ns || !job_is_sample(job));
+	bool is_generation = job->frame != NULL && job->frame->run->model[0];
+	bool is_orphan = job->orphan_deadline_ns != 0 &&
+	    (now_ns >= job->orphan_deadline_ns || !job_is_sample(job));
 
 	if (job->state == JOB_DONE || job->state == JOB_BARRED) {
-		if (now_ns < job->forget_ns &&
-		    !sample_is_past(&agent->journal, job))
+		if (now_ns < job->retained_until_ns &&
+		    !sample_is_outdated(&agent->journal, job))
 			return false;
 		journal_remove(&agent->journal, shard, job);
 		return true;
 	}
-	if (now_ns >= job->deadline_ns && generation)
+	if (now_ns >= job->deadline_ns && is_generation)
 		atomic_store(&job->cancelled, true);
-	if (generation && (orphan || hand_over))
+	if (is_generation && (is_orphan || is_handing_over))
 		atomic_store(&job->cancelled, true);
-	if (sample_is_past(&agent->journal, job))
+	if (sample_is_outdated(&agent->journal, job))
 		atomic_store(&job->cancelled, true);
 	return false;
 }
 
+/* Whether the trainer has gone on to a later step than the sample's. */
 static bool
-sample_is_past(struct journal *journal, const struct job *job)
+sample_is_outdated(struct journal *journal, const struct job *job)
 {
 	const Kwb__Wire__Slot *slot = job_slot(job);
-	bool past = false;
+	bool is_outdated = false;
 	unsigned i;
 
 	if (slot == NULL)
@@ -450,21 +487,22 @@
 	pthread_mutex_lock(&journal->fences_lock);
 	for (i = 0; i < KWB_PLANS_MAX; i++)
 		if (strcmp(journal->fences[i].plan, job->plan) == 0)
-			past = slot->step < journal->fences[i].step;
+			is_outdated = slot->step < journal->fences[i].step;
 	pthread_mutex_unlock(&journal->fences_lock);
-	return past;
+	return is_outdated;
 }
 
+/* Fills in the usable samples of a step in one shard; returns how many. */
 static unsigned
 find_in_shard(struct journal_shard *shard, const Kwb__Wire__Find *find,
-    Kwb__Wire__Held *held, unsigned room)
+    Kwb__Wire__Held *held, unsigned held_capacity)
 {
 	struct job *job;
 	unsigned count = 0;
 
 	pthread_mutex_lock(&shard->lock);
 	TAILQ_FOREACH (job, &shard->jobs, in_shard) {
-		if (count == room || !job_is_sample(job) ||
+		if (count == held_capacity || !job_is_sample(job) ||
 		    strcmp(job->plan, find->plan) != 0 ||
 		    job->frame->run->slot->step != find->step)
 			continue;
@@ -478,7 +516,10 @@
 	return count;
 }
 
-/* The copy is the caller's, because the job may go once its lock is let go. */
+/*
+ * Describes a sample; false if out of memory. Copies are made, which the caller
+ * frees, because the job may be removed once its shard is unlocked.
+ */
 static bool
 held_fill(Kwb__Wire__Held *held, const struct job *job)
 {
