--- a/src/call/call.c
+++ b/src/call/call.c
@@ -46,7 +46,7 @@
 void
 call_run(struct kwb_entry *entry, struct call *call, struct call_answer *answer)
 {
-	struct plan_gate *gate = entry_gate(entry, call->plan);
+	struct plan_state *gate = entry_plan_state(entry, call->plan);
 	struct dispatch dispatch = {
 	    .entry = entry,
 	    .call = call,
@@ -58,20 +58,20 @@
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
 	inbox_init(&dispatch.inbox);
-	kwb_retry_budget_add_try(&gate->budget);
+	kwb_retry_budget_add_try(&gate->retry_budget);
 	do {
 		/* A refusal for lack of room costs no retry: nothing ran. */
 		was_full = answer->error == KWB_ERR_ROUTE_FULL ||
 		    answer->error == KWB_ERR_CALL_BUSY;
 		if (is_retry && !was_full &&
-		    !kwb_retry_budget_take(&gate->budget))
+		    !kwb_retry_budget_take(&gate->retry_budget))
 			break;
 		if (is_retry)
 			kwb_clock_sleep_ns(RETRY_DELAY_NS);
 		is_retry = true;
 	} while (call_attempt(&dispatch) == ACTION_RETRY &&
 	    kwb_clock_now_ns() < call->deadline_ns);
-	if (call->pinned && answer->outcome == KWB_OUTCOME_NOT_RUN &&
+	if (call->is_named && answer->outcome == KWB_OUTCOME_NOT_RUN &&
 	    answer->error != KWB_ERR_CALL_BARRED)
 		bar_key(&dispatch);
 	inbox_finish(&dispatch.inbox);
@@ -134,7 +134,7 @@
 	struct call *call = dispatch->call;
 	int error;
 
-	if (!call->pinned && call->pin.vm[0] == '\0') {
+	if (!call->is_named && call->pin.vm[0] == '\0') {
 		error = call_pin_create(
 		    dispatch->entry, call->plan, call->pool, &call->pin);
 		if (error != 0)
@@ -142,7 +142,7 @@
 	}
 	error = peers_reserve(
 	    dispatch->entry, call->pin.vm, call->plan, NULL, &dispatch->target);
-	if (error != 0 && !call->pinned)
+	if (error != 0 && !call->is_named)
 		memset(&call->pin, 0, sizeof(call->pin));
 	return error;
 }
@@ -224,7 +224,7 @@
 		kwb_buf_add(&answer->body, done->body.data, done->body.len);
 	}
 	/* A restarted agent does not know what its predecessor ran. */
-	if (done->error == KWB_ERR_CALL_INCARNATION && dispatch->call->pinned)
+	if (done->error == KWB_ERR_CALL_INCARNATION && dispatch->call->is_named)
 		answer->outcome = KWB_OUTCOME_UNKNOWN;
 }
 
@@ -315,7 +315,7 @@
 	const struct call_answer *answer = dispatch->answer;
 	struct call *call = dispatch->call;
 
-	if (call->pinned)
+	if (call->is_named)
 		return answer->outcome == KWB_OUTCOME_NOT_RUN &&
 		    (answer->error == KWB_ERR_CALL_BUSY ||
 			answer->error == KWB_ERR_CALL_STALE_LISTS);
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -20,7 +20,7 @@
 {
 	memset(generation, 0, sizeof(*generation));
 	generation->inbox = inbox;
-	generation->avoid = -1;
+	generation->avoid_peer = -1;
 	generation->target.peer = -1;
 	kwb_tokens_init(&generation->tokens);
 }
@@ -40,7 +40,7 @@
 	    .affinity_key = generation->prompt,
 	    .min_version = generation->min_version,
 	    .random = entry_random(),
-	    .exclude = generation->avoid,
+	    .exclude = generation->avoid_peer,
 	    .priority = generation->priority > 0,
 	    .policy = entry->policy,
 	};
@@ -169,7 +169,7 @@
 		kwb_metric_add(KWB_METRIC_RESUMES, 1);
 	generation->starts++;
 	generation->state = GENERATION_RUNNING;
-	generation->token_ns = kwb_clock_now_ns();
+	generation->last_token_ns = kwb_clock_now_ns();
 	return 0;
 }
 
@@ -180,7 +180,7 @@
 {
 	size_t i, span = 0;
 
-	generation->token_ns = kwb_clock_now_ns();
+	generation->last_token_ns = kwb_clock_now_ns();
 	if (progress->n_spans == 0 ||
 	    progress->first > generation->tokens.count)
 		return;
@@ -206,7 +206,7 @@
 	    "event=broken key=%s vm=%s error=%s tokens=%u", generation->key,
 	    generation->target.vm, kwb_error_name(error),
 	    generation->tokens.count);
-	generation->avoid = generation->target.peer;
+	generation->avoid_peer = generation->target.peer;
 	generation->error = error;
 	generation->state = GENERATION_PENDING;
 	registry_close_request(&entry->registry, generation->request);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -8,10 +8,10 @@
 
 #include "entry.h"
 
-#define STEP_NS (50 * KWB_MS_NS)
-#define BALANCER_NS (2000 * KWB_MS_NS)
+#define LOOP_PAUSE_NS (50 * KWB_MS_NS)
+#define BALANCER_WAIT_NS (2000 * KWB_MS_NS)
 
-static void *member_run(void *argument);
+static void *membership_run(void *argument);
 static void read_lists(struct kwb_entry *entry);
 static bool read_vms(struct kwb_entry *entry, struct kwb_vms *fresh);
 static void seeds_to_vms(
@@ -34,7 +34,7 @@
 	kwb_platform_init(&entry->platform, settings->platform);
 	peers_init(&entry->peers);
 	registry_init(&entry->registry);
-	pthread_mutex_init(&entry->gates_lock, NULL);
+	pthread_mutex_init(&entry->plan_states_lock, NULL);
 	pthread_mutex_init(&entry->vms_lock, NULL);
 	entry->vms = calloc(1, sizeof(*entry->vms));
 	if (entry->vms == NULL)
@@ -44,7 +44,8 @@
 	if (error == 0)
 		error = kwb_loop_start(&entry->loop);
 	if (error == 0 &&
-	    (pthread_create(&entry->member_thread, NULL, member_run, entry) ||
+	    (pthread_create(
+		 &entry->membership_thread, NULL, membership_run, entry) ||
 		pthread_create(&entry->leader_thread, NULL, leader_run, entry)))
 		error = KWB_ERR_SYSTEM;
 	if (error == 0)
@@ -68,19 +69,19 @@
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t deadline_ns = now_ns + entry->settings->drain_ms * KWB_MS_NS;
-	uint64_t balancer_ns = now_ns + BALANCER_NS;
+	uint64_t balancer_until_ns = now_ns + BALANCER_WAIT_NS;
 
 	kwb_log(KWB_LOG_INFO, "entry", "event=draining active=%u",
 	    atomic_load(&entry->active));
 	atomic_store(&entry->draining, true);
 	while (kwb_clock_now_ns() < deadline_ns &&
-	    (kwb_clock_now_ns() < balancer_ns ||
+	    (kwb_clock_now_ns() < balancer_until_ns ||
 		atomic_load(&entry->active) > 0))
-		kwb_clock_sleep_ns(STEP_NS);
+		kwb_clock_sleep_ns(LOOP_PAUSE_NS);
 	atomic_store(&entry->stopping, true);
 	http_stop(entry);
 	pthread_join(entry->leader_thread, NULL);
-	pthread_join(entry->member_thread, NULL);
+	pthread_join(entry->membership_thread, NULL);
 	kwb_loop_finish(&entry->loop);
 	peers_finish(&entry->peers);
 	registry_finish(&entry->registry);
@@ -92,12 +93,13 @@
 
 /* Notes that a plan is asked for here, so that its homes are connected to. */
 void
-entry_demand(struct kwb_entry *entry, struct plan_gate *gate)
+entry_note_demand(struct kwb_entry *entry, struct plan_state *plan_state)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	uint64_t before_ns = atomic_exchange(&gate->demand_ns, now_ns);
+	uint64_t previous_ns =
+	    atomic_exchange(&plan_state->last_demand_ns, now_ns);
 
-	if (before_ns == 0 || now_ns - before_ns > KWB_DEMAND_TTL_NS / 2)
+	if (previous_ns == 0 || now_ns - previous_ns > KWB_DEMAND_TTL_NS / 2)
 		atomic_fetch_add(&entry->demand_changes, 1);
 }
 
@@ -106,69 +108,71 @@
  * domain, so that the plan's homes there are connected to.
  */
 void
-entry_lead(struct kwb_entry *entry, const char *plan,
+entry_set_leading(struct kwb_entry *entry, const char *plan,
     const char *failure_domain, bool leads)
 {
-	struct plan_gate *gate = entry_gate(entry, plan);
+	struct plan_state *plan_state = entry_plan_state(entry, plan);
 	unsigned i;
 
-	if (entry_leads(entry, plan, failure_domain) == leads)
+	if (entry_is_leading(entry, plan, failure_domain) == leads)
 		return;
-	pthread_mutex_lock(&entry->gates_lock);
-	for (i = 0; i < gate->lead_domains_count; i++)
-		if (strcmp(gate->lead_domains[i], failure_domain) == 0)
+	pthread_mutex_lock(&entry->plan_states_lock);
+	for (i = 0; i < plan_state->lead_domains_count; i++)
+		if (strcmp(plan_state->lead_domains[i], failure_domain) == 0)
 			break;
 	if (!leads) {
-		gate->lead_domains_count--;
-		memmove(gate->lead_domains[i], gate->lead_domains[i + 1],
-		    (gate->lead_domains_count - i) *
-			sizeof(gate->lead_domains[i]));
-	} else if (i < GATE_LEADS_MAX) {
-		kwb_text_copy(gate->lead_domains[i],
-		    sizeof(gate->lead_domains[i]), failure_domain);
-		gate->lead_domains_count++;
+		plan_state->lead_domains_count--;
+		memmove(plan_state->lead_domains[i],
+		    plan_state->lead_domains[i + 1],
+		    (plan_state->lead_domains_count - i) *
+			sizeof(plan_state->lead_domains[i]));
+	} else if (i < LEAD_DOMAINS_MAX) {
+		kwb_text_copy(plan_state->lead_domains[i],
+		    sizeof(plan_state->lead_domains[i]), failure_domain);
+		plan_state->lead_domains_count++;
 	}
-	pthread_mutex_unlock(&entry->gates_lock);
+	pthread_mutex_unlock(&entry->plan_states_lock);
 	atomic_fetch_add(&entry->demand_changes, 1);
 }
 
 bool
-entry_leads(
+entry_is_leading(
     struct kwb_entry *entry, const char *plan, const char *failure_domain)
 {
-	struct plan_gate *gate = entry_gate(entry, plan);
+	struct plan_state *plan_state = entry_plan_state(entry, plan);
 	bool leads = false;
 	unsigned i;
 
-	pthread_mutex_lock(&entry->gates_lock);
-	for (i = 0; i < gate->lead_domains_count; i++)
-		if (strcmp(gate->lead_domains[i], failure_domain) == 0)
+	pthread_mutex_lock(&entry->plan_states_lock);
+	for (i = 0; i < plan_state->lead_domains_count; i++)
+		if (strcmp(plan_state->lead_domains[i], failure_domain) == 0)
 			leads = true;
-	pthread_mutex_unlock(&entry->gates_lock);
+	pthread_mutex_unlock(&entry->plan_states_lock);
 	return leads;
 }
 
-/* The plan's gate, made on first sight; the last one when all are taken. */
-struct plan_gate *
-entry_gate(struct kwb_entry *entry, const char *plan)
+/* The state of a plan, added if missing; the last one if there is no room.
+ */
+struct plan_state *
+entry_plan_state(struct kwb_entry *entry, const char *plan)
 {
-	struct plan_gate *gate;
+	struct plan_state *plan_state;
 	unsigned i;
 
-	pthread_mutex_lock(&entry->gates_lock);
-	for (i = 0; i < entry->gates_count; i++)
-		if (strcmp(entry->gates[i].plan, plan) == 0)
+	pthread_mutex_lock(&entry->plan_states_lock);
+	for (i = 0; i < entry->plan_states_count; i++)
+		if (strcmp(entry->plan_states[i].plan, plan) == 0)
 			break;
 	if (i == KWB_PLANS_MAX)
 		i--;
-	gate = &entry->gates[i];
-	if (i == entry->gates_count) {
-		entry->gates_count++;
-		kwb_text_copy(gate->plan, sizeof(gate->plan), plan);
-		kwb_retry_budget_init(&gate->budget);
+	plan_state = &entry->plan_states[i];
+	if (i == entry->plan_states_count) {
+		entry->plan_states_count++;
+		kwb_text_copy(plan_state->plan, sizeof(plan_state->plan), plan);
+		kwb_retry_budget_init(&plan_state->retry_budget);
 	}
-	pthread_mutex_unlock(&entry->gates_lock);
-	return gate;
+	pthread_mutex_unlock(&entry->plan_states_lock);
+	return plan_state;
 }
 
 uint64_t
@@ -185,12 +189,12 @@
 }
 
 static void *
-member_run(void *argument)
+membership_run(void *argument)
 {
 	struct kwb_entry *entry = argument;
 	struct kwb_vms *fresh = calloc(1, sizeof(*fresh));
-	uint64_t lists_ns = 0, vms_ns = 0, now_ns;
-	uint32_t demand = 0;
+	uint64_t next_lists_ns = 0, next_vms_ns = 0, now_ns;
+	uint32_t seen_demand_changes = 0;
 	bool changed;
 
 	if (fresh == NULL)
@@ -199,20 +203,21 @@
 	peers_update(entry, entry->vms);
 	while (!atomic_load(&entry->stopping)) {
 		now_ns = kwb_clock_now_ns();
-		if (now_ns >= lists_ns) {
+		if (now_ns >= next_lists_ns) {
 			read_lists(entry);
-			lists_ns = now_ns + KWB_LISTS_POLL_NS;
+			next_lists_ns = now_ns + KWB_LISTS_POLL_NS;
 		}
-		changed = demand != atomic_load(&entry->demand_changes);
-		demand = atomic_load(&entry->demand_changes);
-		if (now_ns >= vms_ns) {
+		changed =
+		    seen_demand_changes != atomic_load(&entry->demand_changes);
+		seen_demand_changes = atomic_load(&entry->demand_changes);
+		if (now_ns >= next_vms_ns) {
 			changed = read_vms(entry, fresh) || changed;
-			vms_ns = now_ns + KWB_VMS_POLL_NS;
+			next_vms_ns = now_ns + KWB_VMS_POLL_NS;
 		}
 		if (changed)
 			peers_update(entry, entry->vms);
 		peers_reconnect(entry);
-		kwb_clock_sleep_ns(STEP_NS);
+		kwb_clock_sleep_ns(LOOP_PAUSE_NS);
 	}
 	free(fresh);
 	kwb_current_lists_unregister_thread();
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -19,8 +19,8 @@
 struct peer_plan {
 	char plan[KWB_NAME_MAX_BYTES];
 	uint32_t units;
-	uint32_t own;	 /* requests of this entry */
-	uint32_t others; /* of other entries, at the last report */
+	uint32_t own_in_flight;	   /* requests of this entry */
+	uint32_t others_in_flight; /* of other entries, at the last report */
 };
 
 struct peer_model {
@@ -38,18 +38,18 @@
 	bool wanted;	     /* in the subset now */
 	bool listed_leaving; /* by the platform's list, or not in it */
 	uint64_t link;	     /* 0 when there is none */
-	bool greeted;	     /* its hello came on this link */
+	bool is_connected;   /* its hello came on this link */
 	uint64_t incarnation;
 	uint64_t lists_revision;
 	bool leaving;
 	bool upstream_up;
 	uint32_t slots;
-	uint32_t own;
-	uint32_t others;
-	uint64_t reconnect_ns;
+	uint32_t own_in_flight;
+	uint32_t others_in_flight;
+	uint64_t next_reconnect_ns;
 	uint64_t reconnect_delay_ns; /* doubles while tries fail */
-	uint64_t tripped_ns;	     /* deadline of being left out */
-	uint64_t busy_ns;	     /* deadline of being taken as full */
+	uint64_t tripped_until_ns;   /* deadline of being left out */
+	uint64_t busy_until_ns;	     /* deadline of being taken as full */
 	unsigned failures;
 	unsigned models_count;
 	struct peer_model models[KWB_MODELS_MAX];
@@ -84,7 +84,7 @@
 
 STAILQ_HEAD(event_list, event);
 
-/* Events for one waiting thread. */
+/* Events for one thread that awaits them. */
 struct inbox {
 	pthread_mutex_t lock;
 	pthread_cond_t changed;
@@ -111,17 +111,17 @@
 	struct registry_shard shards[KWB_SHARDS];
 };
 
-#define GATE_LEADS_MAX 16
+#define LEAD_DOMAINS_MAX 16
 
 /* What this entry knows and holds of a plan. */
-struct plan_gate {
+struct plan_state {
 	char plan[KWB_NAME_MAX_BYTES];
-	_Atomic uint32_t waiting;
-	struct kwb_retry_budget budget;
-	_Atomic uint64_t trainer_version; /* highest a trainer has named */
-	_Atomic uint64_t demand_ns;	  /* when last asked for */
-	unsigned lead_domains_count;	  /* under gates_lock */
-	char lead_domains[GATE_LEADS_MAX][KWB_NAME_MAX_BYTES];
+	_Atomic uint32_t queue_length;
+	struct kwb_retry_budget retry_budget;
+	_Atomic uint64_t trainer_version; /* highest that a trainer gave */
+	_Atomic uint64_t last_demand_ns;  /* when last asked for */
+	unsigned lead_domains_count;	  /* under plan_states_lock */
+	char lead_domains[LEAD_DOMAINS_MAX][KWB_NAME_MAX_BYTES];
 };
 
 struct kwb_entry {
@@ -133,20 +133,20 @@
 	struct peers peers;
 	struct registry registry;
 	struct mg_context *http;
-	pthread_mutex_t gates_lock;
-	struct plan_gate gates[KWB_PLANS_MAX];
-	unsigned gates_count;
+	pthread_mutex_t plan_states_lock;
+	struct plan_state plan_states[KWB_PLANS_MAX];
+	unsigned plan_states_count;
 	struct kwb_vms *vms; /* written under vms_lock by one thread */
 	_Atomic uint32_t vms_changes;
 	_Atomic uint32_t demand_changes;
 	pthread_mutex_t vms_lock;
-	_Atomic uint32_t active; /* HTTP requests being served */
-	_Atomic uint32_t pulls;	 /* of them, steps being pulled */
+	_Atomic uint32_t active;       /* HTTP requests being served */
+	_Atomic uint32_t active_pulls; /* of them, steps being pulled */
 	_Atomic bool draining;
 	_Atomic bool stopping;
 	_Atomic bool leading;
 	_Atomic bool platform_up;
-	pthread_t member_thread;
+	pthread_t membership_thread;
 	pthread_t leader_thread;
 };
 
@@ -174,9 +174,9 @@
 	struct inbox *inbox;
 	uint64_t request;
 	struct target target;
-	int avoid; /* peer that failed last, -1 for none */
+	int avoid_peer; /* peer that failed last, -1 for none */
 	unsigned starts;
-	uint64_t token_ns; /* when the last token came */
+	uint64_t last_token_ns; /* when the last token came */
 	struct kwb_tokens tokens;
 	int error;
 };
@@ -244,7 +244,7 @@
 	const void *body;
 	size_t body_bytes;
 	bool idempotent;
-	bool pinned; /* named by the caller: one key, one agent, for good */
+	bool is_named; /* named by the caller: one key, one agent, for good */
 	struct kwb_pin pin;
 	uint64_t deadline_ns;
 };
@@ -262,12 +262,12 @@
 void *leader_run(void *argument);
 
 /* entry.c */
-void entry_demand(struct kwb_entry *entry, struct plan_gate *gate);
-void entry_lead(struct kwb_entry *entry, const char *plan,
+void entry_note_demand(struct kwb_entry *entry, struct plan_state *plan_state);
+void entry_set_leading(struct kwb_entry *entry, const char *plan,
     const char *failure_domain, bool leads);
-bool entry_leads(
+bool entry_is_leading(
     struct kwb_entry *entry, const char *plan, const char *failure_domain);
-struct plan_gate *entry_gate(struct kwb_entry *entry, const char *plan);
+struct plan_state *entry_plan_state(struct kwb_entry *entry, const char *plan);
 uint64_t entry_random(void);
 
 /* http.c */
--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -14,7 +14,7 @@
 
 #include "http.h"
 
-#define WORKERS_SPARE 4
+#define WORKERS_RESERVED 4
 #define TIMEOUT_MS_MAX 600000
 
 static int on_request(struct mg_connection *connection, void *context);
@@ -108,8 +108,8 @@
 	snprintf(exchange.id, sizeof(exchange.id), "%s-%" PRIx64,
 	    entry->settings->vm, atomic_fetch_add(&entry->registry.next_id, 1));
 	kwb_buf_init(&exchange.body);
-	/* A stream holds a worker: refuse while some are left for others. */
-	if (active + WORKERS_SPARE > entry->settings->workers)
+	/* A stream holds a worker: refuse while some are left. */
+	if (active + WORKERS_RESERVED > entry->settings->workers)
 		refuse_early(
 		    &exchange, 503, KWB_ERR_CALL_BUSY, "no free worker");
 	else if (plan_load(&exchange) == 0 && body_read(&exchange) == 0)
@@ -141,19 +141,19 @@
 static void
 dispatch(struct exchange *exchange)
 {
-	bool post = strcmp(exchange->info->request_method, "POST") == 0;
+	bool is_post = strcmp(exchange->info->request_method, "POST") == 0;
 	enum kwb_plan_kind kind = exchange->plan.kind;
 
-	if (post && strcmp(exchange->rest, "/completions") == 0 &&
+	if (is_post && strcmp(exchange->subpath, "/completions") == 0 &&
 	    kind != KWB_PLAN_SERVICE)
 		http_completion(exchange);
-	else if (strncmp(exchange->rest, "/call/", 6) == 0 &&
+	else if (strncmp(exchange->subpath, "/call/", 6) == 0 &&
 	    kind == KWB_PLAN_SERVICE)
 		http_call(exchange);
-	else if (post && strcmp(exchange->rest, "/tickets") == 0 &&
+	else if (is_post && strcmp(exchange->subpath, "/tickets") == 0 &&
 	    kind == KWB_PLAN_SERVICE)
 		http_ticket(exchange);
-	else if (post && strncmp(exchange->rest, "/steps/", 7) == 0 &&
+	else if (is_post && strncmp(exchange->subpath, "/steps/", 7) == 0 &&
 	    kind == KWB_PLAN_TRAINING)
 		serve_pull(exchange);
 	else
@@ -171,11 +171,12 @@
     struct exchange *exchange, int status, int error, const char *detail)
 {
 	struct mg_connection *connection = exchange->connection;
-	bool named = mg_get_header(connection, "Idempotency-Key") != NULL ||
+	bool is_named = mg_get_header(connection, "Idempotency-Key") != NULL ||
 	    mg_get_header(connection, "X-Kwb-Ticket") != NULL;
 
 	http_refuse(connection, status,
-	    named ? KWB_OUTCOME_UNKNOWN : KWB_OUTCOME_NOT_RUN, error, detail);
+	    is_named ? KWB_OUTCOME_UNKNOWN : KWB_OUTCOME_NOT_RUN, error,
+	    detail);
 }
 
 /* Copies the plan, so that no list is held while a request runs. */
@@ -192,19 +193,19 @@
 	if (length >= sizeof(exchange->plan_name))
 		length = sizeof(exchange->plan_name) - 1;
 	memcpy(exchange->plan_name, path, length);
-	exchange->rest = path + length;
+	exchange->subpath = path + length;
 	lists = kwb_current_lists_read_lock();
 	plan = kwb_lists_find_plan(lists, exchange->plan_name);
 	allowance = kwb_lists_find_allowance(lists, exchange->plan_name);
 	if (lists != NULL)
 		error = KWB_ERR_ARGUMENT;
 	if (plan != NULL && allowance != NULL) {
-		size_t bytes = plan->rules_count * sizeof(*plan->rules);
+		size_t rules_bytes = plan->rules_count * sizeof(*plan->rules);
 
 		exchange->plan = *plan;
-		exchange->plan.rules = malloc(bytes + 1);
-		if (exchange->plan.rules != NULL && bytes > 0)
-			memcpy(exchange->plan.rules, plan->rules, bytes);
+		exchange->plan.rules = malloc(rules_bytes + 1);
+		if (exchange->plan.rules != NULL && rules_bytes > 0)
+			memcpy(exchange->plan.rules, plan->rules, rules_bytes);
 		exchange->queue_max = allowance->queue;
 		error = exchange->plan.rules ? 0 : KWB_ERR_MEMORY;
 	}
@@ -218,41 +219,41 @@
 static int
 body_read(struct exchange *exchange)
 {
-	char chunk_bytes[8192];
-	int got;
+	char chunk[8192];
+	int got_bytes;
 
-	while ((got = mg_read(exchange->connection, chunk_bytes,
-		    sizeof(chunk_bytes))) > 0) {
-		if (exchange->body.used_bytes + (size_t)got >
+	while ((got_bytes = mg_read(
+		    exchange->connection, chunk, sizeof(chunk))) > 0) {
+		if (exchange->body.used_bytes + (size_t)got_bytes >
 		    KWB_FRAME_MAX_BYTES / 2) {
 			refuse_early(
 			    exchange, 413, KWB_ERR_WIRE_SIZE, "body too large");
 			return KWB_ERR_WIRE_SIZE;
 		}
-		kwb_buf_add(&exchange->body, chunk_bytes, (size_t)got);
+		kwb_buf_add(&exchange->body, chunk, (size_t)got_bytes);
 	}
 	return 0;
 }
 
 uint64_t
-http_deadline(struct exchange *exchange, uint32_t fallback_ms)
+http_deadline(struct exchange *exchange, uint32_t default_ms)
 {
 	const char *text =
 	    mg_get_header(exchange->connection, "X-Kwb-Timeout-Ms");
-	unsigned long wanted = text ? strtoul(text, NULL, 10) : 0;
+	unsigned long timeout_ms = text ? strtoul(text, NULL, 10) : 0;
 
-	if (wanted == 0 || wanted > TIMEOUT_MS_MAX)
-		wanted = fallback_ms;
-	return kwb_clock_now_ns() + wanted * KWB_MS_NS;
+	if (timeout_ms == 0 || timeout_ms > TIMEOUT_MS_MAX)
+		timeout_ms = default_ms;
+	return kwb_clock_now_ns() + timeout_ms * KWB_MS_NS;
 }
 
 static void
 serve_pull(struct exchange *exchange)
 {
 	char *end;
-	uint64_t step = strtoull(exchange->rest + 7, &end, 10);
+	uint64_t step = strtoull(exchange->subpath + 7, &end, 10);
 
-	if (end == exchange->rest + 7 || strcmp(end, "/pull") != 0) {
+	if (end == exchange->subpath + 7 || strcmp(end, "/pull") != 0) {
 		http_refuse(exchange->connection, 404, KWB_OUTCOME_NOT_RUN,
 		    KWB_ERR_ARGUMENT, "path is steps/N/pull");
 		return;
@@ -265,11 +266,11 @@
 on_health(struct mg_connection *connection, void *context)
 {
 	struct kwb_entry *entry = context;
-	bool well =
+	bool is_healthy =
 	    !atomic_load(&entry->draining) && kwb_current_lists_revision() > 0;
 
-	http_send(connection, well ? 200 : 503, "text/plain", "",
-	    well ? "ok\n" : "no\n", 3);
+	http_send(connection, is_healthy ? 200 : 503, "text/plain", "",
+	    is_healthy ? "ok\n" : "no\n", 3);
 	return 200;
 }
 
--- a/src/entry/http.h
+++ b/src/entry/http.h
@@ -17,14 +17,14 @@
 	const struct mg_request_info *info;
 	char id[REQUEST_ID_BYTES];
 	char plan_name[KWB_NAME_MAX_BYTES];
-	const char *rest; /* path after the plan */
+	const char *subpath; /* path after the plan */
 	struct kwb_plan plan;
 	uint32_t queue_max;
 	struct kwb_buf body;
 };
 
 /* http.c */
-uint64_t http_deadline(struct exchange *exchange, uint32_t fallback_ms);
+uint64_t http_deadline(struct exchange *exchange, uint32_t default_ms);
 void http_send(struct mg_connection *connection, int status,
     const char *content_type, const char *headers, const char *text,
     size_t length_bytes);
--- a/src/entry/http_call.c
+++ b/src/entry/http_call.c
@@ -8,7 +8,7 @@
 
 #define PATH_MAX_BYTES 1024
 
-static bool call_name(struct exchange *exchange, struct call *call);
+static bool call_read_name(struct exchange *exchange, struct call *call);
 static void call_reply(
     struct exchange *exchange, const struct call_answer *answer);
 
@@ -29,7 +29,7 @@
 	    .body_bytes = exchange->body.used_bytes,
 	};
 
-	snprintf(path, sizeof(path), "%s%s%s", exchange->rest + 5,
+	snprintf(path, sizeof(path), "%s%s%s", exchange->subpath + 5,
 	    query ? "?" : "", query ? query : "");
 	call.content_type = mg_get_header(exchange->connection, "Content-Type");
 	if (call.content_type == NULL)
@@ -40,7 +40,7 @@
 	    : strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 	call.deadline_ns = http_deadline(
 	    exchange, rule ? rule->timeout_ms : KWB_CALL_TIMEOUT_MS);
-	if (!call_name(exchange, &call))
+	if (!call_read_name(exchange, &call))
 		return;
 	call_run(exchange->entry, &call, &answer);
 	call_reply(exchange, &answer);
@@ -69,7 +69,7 @@
 
 /* How the caller named the call: a ticket, its own key, or not at all. */
 static bool
-call_name(struct exchange *exchange, struct call *call)
+call_read_name(struct exchange *exchange, struct call *call)
 {
 	struct mg_connection *connection = exchange->connection;
 	const char *ticket = mg_get_header(connection, "X-Kwb-Ticket");
@@ -77,7 +77,7 @@
 	int length, error;
 
 	if (ticket != NULL) {
-		call->pinned = true;
+		call->is_named = true;
 		if (kwb_ticket_parse(&call->pin, ticket) == 0)
 			return true;
 		http_refuse(connection, 400, KWB_OUTCOME_NOT_RUN,
@@ -86,7 +86,7 @@
 	}
 	if (key == NULL)
 		return true;
-	call->pinned = true;
+	call->is_named = true;
 	length = snprintf(
 	    call->pin.key, sizeof(call->pin.key), "c/%s/%s", call->plan, key);
 	if (length >= (int)sizeof(call->pin.key) ||
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -1,6 +1,6 @@
 /*
  * Interactive answers: streamed or whole, resumed elsewhere when an upstream
- * breaks off, waiting in the plan's queue when all are full.
+ * breaks off, queued for the plan when all are full.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,11 +12,11 @@
 
 static void completion_run(
     struct exchange *exchange, struct generation *generation, bool stream);
-static int completion_wait(struct exchange *exchange,
+static int completion_start(struct exchange *exchange,
     struct generation *generation, uint32_t *retries);
-static void completion_send(
-    struct exchange *exchange, struct generation *generation, uint32_t from);
-static void completion_whole(
+static void completion_send_tokens(
+    struct exchange *exchange, struct generation *generation, uint32_t first);
+static void completion_send_whole(
     struct exchange *exchange, const struct generation *generation);
 
 void
@@ -63,17 +63,17 @@
     struct exchange *exchange, struct generation *generation, bool stream)
 {
 	struct mg_connection *connection = exchange->connection;
-	uint32_t sent = 0, waiting_since = 0;
+	uint32_t sent = 0, retries_count = 0;
 	struct event *event;
-	bool begun = false;
+	bool has_begun = false;
 	int error;
 
 	while (generation->state != GENERATION_DONE) {
 		error = 0;
 		if (generation->state == GENERATION_PENDING)
-			error = completion_wait(
-			    exchange, generation, &waiting_since);
-		if (error != 0 && !begun) {
+			error = completion_start(
+			    exchange, generation, &retries_count);
+		if (error != 0 && !has_begun) {
 			http_refuse(connection,
 			    error == KWB_ERR_ROUTE_FULL ? 429 : 503,
 			    generation->starts > 0 ? KWB_OUTCOME_UNKNOWN
@@ -91,18 +91,18 @@
 		}
 		if (!stream || generation->tokens.count == sent)
 			continue;
-		if (!begun)
+		if (!has_begun)
 			mg_printf(connection,
 			    "HTTP/1.1 200 OK\r\nContent-Type: "
 			    "text/event-stream\r\nX-Kwb-Request: %s\r\n"
 			    "Transfer-Encoding: chunked\r\n\r\n",
 			    exchange->id);
-		begun = true;
-		completion_send(exchange, generation, sent);
+		has_begun = true;
+		completion_send_tokens(exchange, generation, sent);
 		sent = generation->tokens.count;
 	}
-	if (!begun) {
-		completion_whole(exchange, generation);
+	if (!has_begun) {
+		completion_send_whole(exchange, generation);
 		return;
 	}
 	if (generation->state == GENERATION_DONE) {
@@ -123,22 +123,23 @@
 
 /* Waits in the plan's queue, bounded in length and time, for a place. */
 static int
-completion_wait(
+completion_start(
     struct exchange *exchange, struct generation *generation, uint32_t *retries)
 {
-	struct plan_gate *gate =
-	    entry_gate(exchange->entry, exchange->plan_name);
+	struct plan_state *plan_state =
+	    entry_plan_state(exchange->entry, exchange->plan_name);
 	int error;
 
 	if (generation->starts == 0)
-		kwb_retry_budget_add_try(&gate->budget);
+		kwb_retry_budget_add_try(&plan_state->retry_budget);
 	else if (generation->error != KWB_ERR_CALL_BUSY && (*retries)++ > 0 &&
-	    !kwb_retry_budget_take(&gate->budget))
+	    !kwb_retry_budget_take(&plan_state->retry_budget))
 		return KWB_ERR_ROUTE_FULL;
 	error = generation_start(exchange->entry, generation);
 	if (error == 0)
 		return 0;
-	if (atomic_fetch_add(&gate->waiting, 1) >= exchange->queue_max)
+	if (atomic_fetch_add(&plan_state->queue_length, 1) >=
+	    exchange->queue_max)
 		error = KWB_ERR_ROUTE_FULL;
 	else
 		error = -1;
@@ -150,19 +151,19 @@
 		if (kwb_clock_now_ns() < generation->deadline_ns)
 			error = -1;
 	}
-	atomic_fetch_sub(&gate->waiting, 1);
+	atomic_fetch_sub(&plan_state->queue_length, 1);
 	return error;
 }
 
 static void
-completion_send(
-    struct exchange *exchange, struct generation *generation, uint32_t from)
+completion_send_tokens(
+    struct exchange *exchange, struct generation *generation, uint32_t first)
 {
 	struct kwb_buf out;
 	uint32_t i;
 
 	kwb_buf_init(&out);
-	for (i = from; i < generation->tokens.count; i++) {
+	for (i = first; i < generation->tokens.count; i++) {
 		json_t *token =
 		    json_pack("{s:s, s:I}", "token", generation->tokens.text[i],
 			"version", (json_int_t)generation->tokens.version[i]);
@@ -180,7 +181,8 @@
 }
 
 static void
-completion_whole(struct exchange *exchange, const struct generation *generation)
+completion_send_whole(
+    struct exchange *exchange, const struct generation *generation)
 {
 	json_t *tokens = json_array(), *versions = json_array(), *root;
 	char headers[256], *text;
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -20,7 +20,7 @@
     struct peer *peer, uint64_t revision, const Kwb__Wire__Status *status);
 static void peer_apply_load(struct kwb_entry *entry, uint64_t link,
     struct peer *peer, const Kwb__Wire__Done *done);
-static uint32_t load_of_others(uint32_t reported, uint32_t own);
+static uint32_t load_of_others(uint32_t reported, uint32_t own_in_flight);
 
 const struct kwb_link_ops peer_link_ops = {
     .on_open = on_open,
@@ -129,11 +129,11 @@
 
 	pthread_mutex_lock(&entry->peers.lock);
 	if (peer->link == link) {
-		if (peer->greeted)
+		if (peer->is_connected)
 			kwb_log(KWB_LOG_WARN, "member", "event=link_lost vm=%s",
 			    peer->vm);
 		peer->link = 0;
-		peer->greeted = false;
+		peer->is_connected = false;
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
 	registry_link_lost(&entry->registry, link);
@@ -150,7 +150,7 @@
 	unsigned i;
 
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		links += peers->peers[i].greeted;
+		links += peers->peers[i].is_connected;
 	if (links > KWB_HEARTBEAT_LINKS)
 		period_ns =
 		    (links - KWB_HEARTBEAT_LINKS) * KWB_HEARTBEAT_LINK_NS;
@@ -190,7 +190,7 @@
 	if (peer->link == link && !is_mismatch) {
 		if (peer->incarnation != hello->incarnation)
 			peer_clear_load(peer);
-		peer->greeted = true;
+		peer->is_connected = true;
 		peer->incarnation = hello->incarnation;
 		peer->reconnect_delay_ns = 0;
 		peer->failures = 0;
@@ -216,9 +216,9 @@
 
 	for (i = 0; i < peer->plans_count; i++) {
 		peer->plans[i].units = 0;
-		peer->plans[i].others = 0;
+		peer->plans[i].others_in_flight = 0;
 	}
-	peer->others = 0;
+	peer->others_in_flight = 0;
 }
 
 static void
@@ -233,7 +233,7 @@
 	peer->leaving = status->leaving;
 	peer->upstream_up = status->upstream_up;
 	peer->slots = status->slots;
-	peer->others = load_of_others(busy, peer->own);
+	peer->others_in_flight = load_of_others(busy, peer->own_in_flight);
 	peer->models_count = 0;
 	for (i = 0; i < status->n_versions && i < KWB_MODELS_MAX; i++) {
 		struct peer_model *model = &peer->models[peer->models_count++];
@@ -250,8 +250,8 @@
 		if (plan_use == NULL)
 			continue;
 		plan_use->units = status->plans[i]->units;
-		plan_use->others =
-		    load_of_others(status->plans[i]->running, plan_use->own);
+		plan_use->others_in_flight = load_of_others(
+		    status->plans[i]->running, plan_use->own_in_flight);
 	}
 }
 
@@ -268,18 +268,20 @@
 	if (peer->link == link && done->leaving)
 		peer->leaving = true;
 	if (peer->link == link && done->plan[0] != '\0') {
-		peer->others = load_of_others(done->busy + refused, peer->own);
+		peer->others_in_flight =
+		    load_of_others(done->busy + refused, peer->own_in_flight);
 		plan_use = peer_plan_get(peer, done->plan);
 		if (plan_use != NULL)
-			plan_use->others = load_of_others(
-			    done->plan_running + refused, plan_use->own);
+			plan_use->others_in_flight =
+			    load_of_others(done->plan_running + refused,
+				plan_use->own_in_flight);
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
 }
 
-/* Requests of other entries: those that an agent reports less our own. */
+/* Requests of other entries: what the agent reports minus this entry's. */
 static uint32_t
-load_of_others(uint32_t reported, uint32_t own)
+load_of_others(uint32_t reported, uint32_t own_in_flight)
 {
-	return reported > own ? reported - own : 0;
+	return reported > own_in_flight ? reported - own_in_flight : 0;
 }
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -86,7 +86,7 @@
 	for (i = 0; i < KWB_PEERS_MAX && error != 0; i++) {
 		struct peer *peer = &peers->peers[i];
 
-		if (strcmp(peer->vm, vm) != 0 || !peer->greeted)
+		if (strcmp(peer->vm, vm) != 0 || !peer->is_connected)
 			continue;
 		peer_reserve(peer, i, plan, model, target);
 		error = 0;
@@ -111,12 +111,13 @@
 	pthread_mutex_lock(&entry->peers.lock);
 	if (strcmp(peer->vm, target->vm) == 0) {
 		plan_use = peer_plan_get(peer, target->plan);
-		if (plan_use != NULL && plan_use->own > 0)
-			plan_use->own--;
-		if (peer->own > 0)
-			peer->own--;
+		if (plan_use != NULL && plan_use->own_in_flight > 0)
+			plan_use->own_in_flight--;
+		if (peer->own_in_flight > 0)
+			peer->own_in_flight--;
 		if (error == KWB_ERR_CALL_BUSY)
-			peer->busy_ns = kwb_clock_now_ns() + KWB_PEER_BUSY_NS;
+			peer->busy_until_ns =
+			    kwb_clock_now_ns() + KWB_PEER_BUSY_NS;
 		if (error == KWB_ERR_CALL_UPSTREAM ||
 		    error == KWB_ERR_CALL_DEADLINE)
 			peer->failures++;
@@ -124,7 +125,7 @@
 			peer->failures = 0;
 		if (peer->failures >= KWB_PEER_TRIP_FAILURES) {
 			peer->failures = 0;
-			peer->tripped_ns =
+			peer->tripped_until_ns =
 			    kwb_clock_now_ns() + KWB_PEER_TRIP_NS;
 			kwb_log(KWB_LOG_WARN, "member", "event=trip vm=%s",
 			    peer->vm);
@@ -194,10 +195,10 @@
     const struct kwb_plan *plan, const struct kwb_allowance *allowance,
     uint32_t *chosen, unsigned chosen_max)
 {
-	uint64_t demand_ns =
-	    atomic_load(&entry_gate(entry, plan->name)->demand_ns);
-	bool in_demand = demand_ns != 0 &&
-	    kwb_clock_now_ns() - demand_ns <= KWB_DEMAND_TTL_NS;
+	uint64_t last_demand_ns =
+	    atomic_load(&entry_plan_state(entry, plan->name)->last_demand_ns);
+	bool in_demand = last_demand_ns != 0 &&
+	    kwb_clock_now_ns() - last_demand_ns <= KWB_DEMAND_TTL_NS;
 	unsigned i, used = 0, count;
 
 	count = kwb_home_select(vms, plan->pool, plan->name,
@@ -205,7 +206,7 @@
 	    chosen_max);
 	for (i = 0; i < count; i++)
 		if (in_demand ||
-		    entry_leads(
+		    entry_is_leading(
 			entry, plan->name, vms->vms[chosen[i]].failure_domain))
 			chosen[used++] = chosen[i];
 	return used;
@@ -224,7 +225,7 @@
 			break;
 	peer->listed_leaving =
 	    i == vms->count || vms->vms[i].state == KWB_VM_LEAVING;
-	if (!peer->wanted && peer->own == 0 && peer->link == 0)
+	if (!peer->wanted && peer->own_in_flight == 0 && peer->link == 0)
 		memset(peer, 0, sizeof(*peer));
 }
 
@@ -241,15 +242,15 @@
 		struct peer *peer = &peers->peers[i];
 
 		if (!peer->wanted || peer->link != 0 ||
-		    now_ns < peer->reconnect_ns)
+		    now_ns < peer->next_reconnect_ns)
 			continue;
 		peer->reconnect_delay_ns *= 2;
 		if (peer->reconnect_delay_ns < KWB_RECONNECT_NS)
 			peer->reconnect_delay_ns = KWB_RECONNECT_NS;
 		if (peer->reconnect_delay_ns > KWB_RECONNECT_MAX_NS)
 			peer->reconnect_delay_ns = KWB_RECONNECT_MAX_NS;
-		peer->reconnect_ns = now_ns + peer->reconnect_delay_ns;
-		peer->greeted = false;
+		peer->next_reconnect_ns = now_ns + peer->reconnect_delay_ns;
+		peer->is_connected = false;
 		kwb_loop_connect(&entry->loop, &peer->address, i, &peer->link);
 	}
 	pthread_mutex_unlock(&peers->lock);
@@ -264,7 +265,7 @@
 
 	pthread_mutex_lock(&entry->peers.lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		links[i] = entry->peers.peers[i].greeted
+		links[i] = entry->peers.peers[i].is_connected
 		    ? entry->peers.peers[i].link
 		    : 0;
 	pthread_mutex_unlock(&entry->peers.lock);
@@ -286,7 +287,7 @@
 	for (i = 0; i < KWB_PEERS_MAX && count < targets_max; i++) {
 		const struct peer *peer = &peers->peers[i];
 
-		if (!peer->greeted || strcmp(peer->pool, pool) != 0)
+		if (!peer->is_connected || strcmp(peer->pool, pool) != 0)
 			continue;
 		targets[count].peer = i;
 		targets[count].link = peer->link;
@@ -317,10 +318,11 @@
 			continue;
 		plan_use = peer_plan_get(peer, plan);
 		if (plan_use != NULL &&
-		    plan_use->own + plan_use->others < plan_use->units &&
-		    peer->own + peer->others < peer->slots)
-			idle +=
-			    plan_use->units - plan_use->own - plan_use->others;
+		    plan_use->own_in_flight + plan_use->others_in_flight <
+			plan_use->units &&
+		    peer->own_in_flight + peer->others_in_flight < peer->slots)
+			idle += plan_use->units - plan_use->own_in_flight -
+			    plan_use->others_in_flight;
 	}
 	pthread_mutex_unlock(&peers->lock);
 	return idle;
@@ -346,10 +348,10 @@
 		    "\"upstream_up\":%s,\"lists_revision\":%" PRIu64
 		    ",\"own\":%u,\"others\":%u,\"slots\":%u,\"versions\":{",
 		    printed++ ? "," : "", peer->vm, peer->failure_domain,
-		    peer->pool, peer->greeted ? "true" : "false",
+		    peer->pool, peer->is_connected ? "true" : "false",
 		    peer->leaving || peer->listed_leaving ? "true" : "false",
 		    peer->upstream_up ? "true" : "false", peer->lists_revision,
-		    peer->own, peer->others, peer->slots);
+		    peer->own_in_flight, peer->others_in_flight, peer->slots);
 		for (j = 0; j < peer->models_count; j++)
 			kwb_buf_printf(out, "%s\"%s\":%" PRIu64, j ? "," : "",
 			    peer->models[j].model, peer->models[j].version);
@@ -366,9 +368,9 @@
 static bool
 peer_is_usable(const struct peer *peer, uint64_t now_ns)
 {
-	return peer->greeted && peer->upstream_up && !peer->leaving &&
-	    !peer->listed_leaving && now_ns >= peer->tripped_ns &&
-	    now_ns >= peer->busy_ns;
+	return peer->is_connected && peer->upstream_up && !peer->leaving &&
+	    !peer->listed_leaving && now_ns >= peer->tripped_until_ns &&
+	    now_ns >= peer->busy_until_ns;
 }
 
 /*
@@ -424,9 +426,10 @@
 		candidate->swapping = state->swapping;
 	}
 	candidate->units = plan_use->units;
-	candidate->plan_in_flight = plan_use->own + plan_use->others;
+	candidate->plan_in_flight =
+	    plan_use->own_in_flight + plan_use->others_in_flight;
 	candidate->slots = peer->slots;
-	candidate->in_flight = peer->own + peer->others;
+	candidate->in_flight = peer->own_in_flight + peer->others_in_flight;
 }
 
 struct peer_plan *
@@ -470,7 +473,7 @@
 	target->version = state ? state->version : 0;
 	kwb_text_copy(target->vm, sizeof(target->vm), peer->vm);
 	kwb_text_copy(target->plan, sizeof(target->plan), plan);
-	peer->own++;
+	peer->own_in_flight++;
 	if (plan_use != NULL)
-		plan_use->own++;
+		plan_use->own_in_flight++;
 }
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -60,13 +60,13 @@
 		step_free(step);
 		return error;
 	}
-	atomic_fetch_add(&entry->pulls, 1);
+	atomic_fetch_add(&entry->active_pulls, 1);
 	mg_send_http_ok(connection, "application/x-ndjson", -1);
 	if (step->attempt > 1)
 		step_find_held(step);
 	step_loop(step);
 	step_write_end(step);
-	atomic_fetch_sub(&entry->pulls, 1);
+	atomic_fetch_sub(&entry->active_pulls, 1);
 	step_free(step);
 	return 0;
 }
@@ -177,10 +177,10 @@
 	sample = (struct sample *)((char *)generation -
 	    offsetof(struct sample, generation));
 	before = generation->tokens.count;
-	before_ns = generation->token_ns;
+	before_ns = generation->last_token_ns;
 	generation_handle_event(step->entry, generation, event);
 	if (generation->tokens.count > before + 1) {
-		mean_ns = (generation->token_ns - before_ns) /
+		mean_ns = (generation->last_token_ns - before_ns) /
 		    (generation->tokens.count - before);
 		step->token_ns = step->token_ns
 		    ? (step->token_ns * 15 + mean_ns) / 16
@@ -330,7 +330,7 @@
 
 		if (generation->state != GENERATION_RUNNING)
 			continue;
-		input.silent_ns = now_ns - generation->token_ns;
+		input.silent_ns = now_ns - generation->last_token_ns;
 		input.idle_units = peers_idle_units(
 		    step->entry, step->plan.name, generation->target.peer);
 		if (kwb_hedge_is_due(&input))
--- a/src/rollout/step.h
+++ b/src/rollout/step.h
@@ -22,7 +22,7 @@
 struct step {
 	struct kwb_entry *entry;
 	struct mg_connection *connection;
-	struct plan_gate *gate; /* of the plan */
+	struct plan_state *gate; /* of the plan */
 	struct inbox inbox;
 	struct kwb_plan plan; /* copy, without its rules */
 	json_t *request;      /* body of the pull */
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -38,8 +38,8 @@
 		*fault = "no such training plan";
 		return KWB_ERR_ARGUMENT;
 	}
-	step->gate = entry_gate(step->entry, plan);
-	entry_demand(step->entry, step->gate);
+	step->gate = entry_plan_state(step->entry, plan);
+	entry_note_demand(step->entry, step->gate);
 	step->request = json_loads(body, 0, NULL);
 	if (!json_is_object(step->request)) {
 		*fault = "body is no JSON object";
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -245,7 +245,8 @@
 		lead->is_leader = true;
 	else if (error == KWB_ERR_PLATFORM_CONFLICT)
 		lead->is_leader = false;
-	entry_lead(entry, lead->plan, lead->failure_domain, lead->is_leader);
+	entry_set_leading(
+	    entry, lead->plan, lead->failure_domain, lead->is_leader);
 	now_ns = kwb_clock_now_ns();
 	lead->lease_try_ns = now_ns +
 	    (lead->is_leader ? KWB_LEASE_RENEW_NS
@@ -261,7 +262,7 @@
 
 	/* A trainer announces a version after its weights are published. */
 	trainer_version = atomic_load(
-	    &entry_gate(leader->entry, lead->plan)->trainer_version);
+	    &entry_plan_state(leader->entry, lead->plan)->trainer_version);
 	if (now_ns < lead->poll_ns &&
 	    (trainer_version <= lead->newest_version ||
 		now_ns < lead->early_poll_ns))
@@ -311,12 +312,14 @@
 		const struct peer *peer = &peers->peers[i];
 		struct kwb_swap_server *server = &servers[count];
 
-		if (!peer->greeted || strcmp(peer->pool, lead->pool) != 0 ||
+		if (!peer->is_connected ||
+		    strcmp(peer->pool, lead->pool) != 0 ||
 		    strcmp(peer->failure_domain, lead->failure_domain) != 0)
 			continue;
 		memset(server, 0, sizeof(*server));
 		server->usable = peer->upstream_up && !peer->leaving;
-		server->in_flight = peer->own + peer->others;
+		server->in_flight =
+		    peer->own_in_flight + peer->others_in_flight;
 		for (j = 0; j < peer->models_count; j++)
 			if (strcmp(peer->models[j].model, lead->model) == 0) {
 				server->version = peer->models[j].version;
@@ -421,7 +424,7 @@
 
 /*
  * Rank of this entry among the candidates for the lease, 0 first. Entries of
- * the lead's failure domain come before others.
+ * the lead's failure domain come first.
  */
 static unsigned
 candidate_rank(struct kwb_entry *entry, const struct domain_lead *lead)
