--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,6 +1,7 @@
 /*
- * Entry: start, stop, and the thread that follows the platform: lists, VM
- * list, links.
+ * Start and stop of an entry, the state that it keeps for each plan, and the
+ * thread that reads the lists and the VM list from the platform and keeps links
+ * to the peers.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,8 +9,8 @@
 
 #include "entry.h"
 
-#define LOOP_PAUSE_NS (50 * KWB_MS_NS)
-#define BALANCER_WAIT_NS (2000 * KWB_MS_NS)
+#define LOOP_PAUSE_NS (50 * KWB_MS_NS)	    /* between passes of a loop */
+#define BALANCER_WAIT_NS (2000 * KWB_MS_NS) /* for it to see /health */
 
 static void *membership_run(void *argument);
 static void read_lists(struct kwb_entry *entry);
@@ -17,6 +18,10 @@
 static void seeds_to_vms(
     const struct kwb_entry_settings *settings, struct kwb_vms *vms);
 
+/*
+ * Starts an entry with its threads and its HTTP server; 0 or a KWB_ERR_ number.
+ * The settings are not copied and must outlive it.
+ */
 int
 kwb_entry_start(
     struct kwb_entry **started, const struct kwb_entry_settings *settings)
@@ -61,8 +66,10 @@
 }
 
 /*
- * The health URL fails first, so that the balancer turns away; the port stays
- * open and calls run out; a step's stream ends at a sample's edge.
+ * Shuts down gracefully. /health fails first, so that a load balancer sends new
+ * requests elsewhere. Until that is noticed the port stays open, and requests
+ * are served until they end or the drain time is over. Streams of steps end
+ * after a complete sample. Frees the entry.
  */
 void
 kwb_entry_stop(struct kwb_entry *entry)
@@ -91,7 +98,10 @@
 	free(entry);
 }
 
-/* Notes that a plan is asked for here, so that its homes are connected to. */
+/*
+ * Notes that samples of a plan are pulled here, so that the entry connects to
+ * the plan's home agents.
+ */
 void
 entry_note_demand(struct kwb_entry *entry, struct plan_state *plan_state)
 {
@@ -104,8 +114,9 @@
 }
 
 /*
- * Notes whether the weights of a plan are rolled out from here in a failure
- * domain, so that the plan's homes there are connected to.
+ * Notes whether this entry leads a plan's weight swaps in a failure domain, so
+ * that it connects to the plan's home agents there. Domains of a plan beyond
+ * LEAD_DOMAINS_MAX are not noted.
  */
 void
 entry_set_leading(struct kwb_entry *entry, const char *plan,
@@ -135,6 +146,7 @@
 	atomic_fetch_add(&entry->demand_changes, 1);
 }
 
+/* Whether this entry leads a plan's weight swaps in a failure domain. */
 bool
 entry_is_leading(
     struct kwb_entry *entry, const char *plan, const char *failure_domain)
@@ -151,7 +163,9 @@
 	return leads;
 }
 
-/* The state of a plan, added if missing; the last one if there is no room.
+/*
+ * The state of a plan, added if missing. When the table is full, all further
+ * plans share the last element.
  */
 struct plan_state *
 entry_plan_state(struct kwb_entry *entry, const char *plan)
@@ -175,6 +189,7 @@
 	return plan_state;
 }
 
+/* 64 random bits by xorshift, to choose among agents; not for secrets. */
 uint64_t
 entry_random(void)
 {
@@ -188,6 +203,7 @@
 	return state;
 }
 
+/* Thread that keeps the lists, the VM list and the links to peers current. */
 static void *
 membership_run(void *argument)
 {
@@ -224,6 +240,7 @@
 	return NULL;
 }
 
+/* Reads the lists, and sends them to the peers if they are newer. */
 static void
 read_lists(struct kwb_entry *entry)
 {
@@ -242,7 +259,10 @@
 	kwb_buf_finish(&text);
 }
 
-/* An empty or failed answer changes nothing. */
+/*
+ * Reads the VM list into fresh and from there into the entry. An error or an
+ * empty list changes nothing, and the result is false.
+ */
 static bool
 read_vms(struct kwb_entry *entry, struct kwb_vms *fresh)
 {
@@ -255,6 +275,7 @@
 	return true;
 }
 
+/* Fills the VM list from the settings, until the platform's has been read. */
 static void
 seeds_to_vms(const struct kwb_entry_settings *settings, struct kwb_vms *vms)
 {
--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -1,10 +1,10 @@
 /*
- * HTTP of an entry: callers, trainers, operators.
+ * HTTP server of an entry, for callers, trainers and operators.
  *
  *   POST /v1/plans/P/completions      interactive answer, streamed or whole
  *   ANY  /v1/plans/P/call/...         call of a plain service
- *   POST /v1/plans/P/tickets          names a call before it is made
- *   POST /v1/plans/P/steps/N/pull     samples of a training step
+ *   POST /v1/plans/P/tickets          ticket to name a call before it is made
+ *   POST /v1/plans/P/steps/N/pull     stream of samples of a training step
  *   GET  /health /metrics /status
  */
 #include <inttypes.h>
@@ -14,8 +14,8 @@
 
 #include "http.h"
 
-#define WORKERS_RESERVED 4
-#define TIMEOUT_MS_MAX 600000
+#define WORKERS_RESERVED 4    /* for /health, /metrics and /status */
+#define TIMEOUT_MS_MAX 600000 /* that a caller may ask for */
 
 static int on_request(struct mg_connection *connection, void *context);
 static int on_health(struct mg_connection *connection, void *context);
@@ -31,6 +31,7 @@
 static int body_read(struct exchange *exchange);
 static void serve_pull(struct exchange *exchange);
 
+/* Starts the HTTP server; 0 or KWB_ERR_SYSTEM. */
 int
 http_start(struct kwb_entry *entry)
 {
@@ -66,6 +67,7 @@
 	return 0;
 }
 
+/* Stops the HTTP server; its threads have ended on return. */
 void
 http_stop(struct kwb_entry *entry)
 {
@@ -73,6 +75,10 @@
 	mg_exit_library();
 }
 
+/*
+ * Answers with an error: its outcome and error by name, and a detail, which is
+ * a text or the request's id. Counts the outcome in the metrics.
+ */
 void
 http_refuse(struct mg_connection *connection, int status,
     enum kwb_outcome outcome, int error, const char *detail)
@@ -94,6 +100,7 @@
 	    (size_t)length);
 }
 
+/* Handles the requests for plans. */
 static int
 on_request(struct mg_connection *connection, void *context)
 {
@@ -108,7 +115,7 @@
 	snprintf(exchange.id, sizeof(exchange.id), "%s-%" PRIx64,
 	    entry->settings->vm, atomic_fetch_add(&entry->registry.next_id, 1));
 	kwb_buf_init(&exchange.body);
-	/* A stream holds a worker: refuse while some are left. */
+	/* A stream takes a worker for long, so some are held back. */
 	if (active + WORKERS_RESERVED > entry->settings->workers)
 		refuse_early(
 		    &exchange, 503, KWB_ERR_CALL_BUSY, "no free worker");
@@ -120,6 +127,7 @@
 	return 200;
 }
 
+/* Every thread that reads the lists must be registered with them. */
 static void *
 on_thread_start(const struct mg_context *context, int type)
 {
@@ -162,9 +170,9 @@
 }
 
 /*
- * Refuses before the call's name was looked at. An earlier attempt under the
- * same key or ticket may have run through another entry, so that only a call
- * without a name is surely not run.
+ * Refuses a request before its key or ticket was read. An earlier attempt under
+ * the same key or ticket may have run through another entry, so the outcome is
+ * "not run" only for a request without either.
  */
 static void
 refuse_early(
@@ -179,7 +187,11 @@
 	    detail);
 }
 
-/* Copies the plan, so that no list is held while a request runs. */
+/*
+ * Finds the plan that the path names and copies it, so that the lists aren't
+ * locked while the request runs. On error refuses and returns a KWB_ERR_
+ * number.
+ */
 static int
 plan_load(struct exchange *exchange)
 {
@@ -216,6 +228,7 @@
 	return error;
 }
 
+/* Reads the body; refuses and returns KWB_ERR_WIRE_SIZE if it is too large. */
 static int
 body_read(struct exchange *exchange)
 {
@@ -235,6 +248,11 @@
 	return 0;
 }
 
+/*
+ * The time, as of kwb_clock_now_ns(), by which to answer: as many milliseconds
+ * from now as the caller asks for in X-Kwb-Timeout-Ms, or default_ms if that is
+ * missing, 0 or above TIMEOUT_MS_MAX.
+ */
 uint64_t
 http_deadline(struct exchange *exchange, uint32_t default_ms)
 {
@@ -255,13 +273,14 @@
 
 	if (end == exchange->subpath + 7 || strcmp(end, "/pull") != 0) {
 		http_refuse(exchange->connection, 404, KWB_OUTCOME_NOT_RUN,
-		    KWB_ERR_ARGUMENT, "path is steps/N/pull");
+		    KWB_ERR_ARGUMENT, "path must be steps/N/pull, N a number");
 		return;
 	}
 	step_serve(exchange->entry, exchange->connection, exchange->plan_name,
 	    step, kwb_buf_text(&exchange->body));
 }
 
+/* Healthy once the lists were read, until the entry drains. */
 static int
 on_health(struct mg_connection *connection, void *context)
 {
@@ -313,6 +332,7 @@
 	return 200;
 }
 
+/* Sends a whole answer. Each line of headers must end with CR LF. */
 void
 http_send(struct mg_connection *connection, int status,
     const char *content_type, const char *headers, const char *text,
--- a/src/entry/http_call.c
+++ b/src/entry/http_call.c
@@ -1,5 +1,6 @@
 /*
- * Calls of plain services, and the tickets that name them beforehand.
+ * Calls of plain services, and tickets by which a caller can name a call before
+ * it is made, so that it can be sent again without running twice.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,6 +13,7 @@
 static void call_reply(
     struct exchange *exchange, const struct call_answer *answer);
 
+/* Makes a call and sends its answer. A GET or HEAD is idempotent by default. */
 void
 http_call(struct exchange *exchange)
 {
@@ -47,6 +49,7 @@
 	kwb_buf_finish(&answer.body);
 }
 
+/* Makes a ticket: a new key, pinned to an agent that can take a call now. */
 void
 http_ticket(struct exchange *exchange)
 {
@@ -67,7 +70,11 @@
 	kwb_buf_finish(&text);
 }
 
-/* How the caller named the call: a ticket, its own key, or not at all. */
+/*
+ * Reads the ticket or key by which the caller named the call, if any. A ticket
+ * contains its pin; a key's is stored in the platform's table, where it stays
+ * the same for all entries. Refuses and returns false on error.
+ */
 static bool
 call_read_name(struct exchange *exchange, struct call *call)
 {
@@ -102,11 +109,12 @@
 		    &exchange->entry->platform, call->plan, &call->pin);
 	if (error == 0)
 		return true;
-	/* This key may have run before, and that can't be looked up now. */
+	/* The key may have run before, and its pin can't be read now. */
 	http_refuse(connection, 503, KWB_OUTCOME_UNKNOWN, error, exchange->id);
 	return false;
 }
 
+/* Sends the answer of the service, or an error unless the call ran. */
 static void
 call_reply(struct exchange *exchange, const struct call_answer *answer)
 {
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -1,6 +1,7 @@
 /*
- * Interactive answers: streamed or whole, resumed elsewhere when an upstream
- * breaks off, queued for the plan when all are full.
+ * Interactive answers, streamed token by token or sent whole. When an upstream
+ * fails in the middle, the answer is resumed on another agent; when all agents
+ * are full, it is queued.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -19,6 +20,7 @@
 static void completion_send_whole(
     struct exchange *exchange, const struct generation *generation);
 
+/* Reads the request's JSON, generates the answer and sends it. */
 void
 http_completion(struct exchange *exchange)
 {
@@ -58,6 +60,11 @@
 	json_decref(root);
 }
 
+/*
+ * Generates until the end, with restarts after failures. The HTTP status of a
+ * stream is sent with its first tokens; a later error is an event of the
+ * stream.
+ */
 static void
 completion_run(
     struct exchange *exchange, struct generation *generation, bool stream)
@@ -121,7 +128,13 @@
 	mg_send_chunk(connection, "", 0);
 }
 
-/* Waits in the plan's queue, bounded in length and time, for a place. */
+/*
+ * Starts or resumes the generation. If no agent can take it, waits in the
+ * plan's queue, which is limited, until the deadline. Restarts count as retries
+ * of the plan, which are limited, too, except the first restart and those after
+ * a busy agent. Returns 0 or a KWB_ERR_ number; in the loop -1 means to try
+ * again.
+ */
 static int
 completion_start(
     struct exchange *exchange, struct generation *generation, uint32_t *retries)
@@ -155,6 +168,7 @@
 	return error;
 }
 
+/* Sends tokens, beginning at first; the deadline is 0 if the caller is gone. */
 static void
 completion_send_tokens(
     struct exchange *exchange, struct generation *generation, uint32_t first)
