--- a/src/call/call.c
+++ b/src/call/call.c
@@ -189,7 +189,7 @@
 	    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_DEADLINE);
 	while ((event = inbox_wait(
 		    &dispatch->inbox, dispatch->outcome_deadline_ns)) != NULL) {
-		bool is_own = event->request == dispatch->request;
+		bool is_own = event->request_id == dispatch->request;
 		bool link_lost = event->kind == EVENT_LINK_LOST;
 
 		if (is_own && !link_lost &&
@@ -272,7 +272,7 @@
 {
 	dispatch->outcome_deadline_ns = kwb_clock_now_ns() + OUTCOME_WAIT_NS;
 	dispatch->request = 0;
-	dispatch->target.peer = -1;
+	dispatch->target.peer_index = -1;
 	query_after_reconnect(dispatch);
 	if (dispatch->answer->outcome == KWB_OUTCOME_NOT_RUN)
 		answer_set(
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -21,7 +21,7 @@
 	memset(generation, 0, sizeof(*generation));
 	generation->inbox = inbox;
 	generation->avoid_peer = -1;
-	generation->target.peer = -1;
+	generation->target.peer_index = -1;
 	kwb_tokens_init(&generation->tokens);
 }
 
@@ -48,7 +48,7 @@
 
 	/* A key of its own: an agent may still run an earlier start. */
 	kwb_generation_key_print(generation->key, sizeof(generation->key),
-	    &entry->origin, generation->name, generation->starts);
+	    &entry->origin, generation->name, generation->starts_count);
 	error = peers_pick(entry, &route, generation->plan, generation->model,
 	    generation->key, &generation->target);
 	if (error == KWB_ERR_ROUTE_NONE && route.exclude >= 0) {
@@ -86,7 +86,7 @@
 	const Kwb__Wire__Done *done;
 
 	if (generation->state != GENERATION_RUNNING ||
-	    event->request != generation->request)
+	    event->request_id != generation->request_id)
 		return;
 	if (event->kind == EVENT_LINK_LOST) {
 		generation_interrupt(entry, generation, KWB_ERR_WIRE_CLOSED);
@@ -103,7 +103,7 @@
 		generation_interrupt(entry, generation, done->error);
 		return;
 	}
-	registry_close_request(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request_id);
 	peers_release(entry, &generation->target, 0);
 	generation->state = GENERATION_DONE;
 	generation->error = 0;
@@ -122,7 +122,7 @@
 
 	if (generation->state != GENERATION_RUNNING)
 		return;
-	cancel.request = generation->request;
+	cancel.request = generation->request_id;
 	cancel.keep = keep;
 	kwb_link_send(&entry->loop, generation->target.link, &frame);
 	generation_interrupt(entry, generation, KWB_ERR_CALL_CANCELLED);
@@ -137,9 +137,9 @@
 	struct target *target = &generation->target;
 	int error;
 
-	generation->request = registry_open_request(
+	generation->request_id = registry_open_request(
 	    &entry->registry, generation->inbox, target->link, generation);
-	run.request = generation->request;
+	run.request = generation->request_id;
 	run.key = generation->key;
 	run.plan = (char *)generation->plan;
 	run.lists_revision = kwb_current_lists_revision();
@@ -161,13 +161,14 @@
 	run.slot = generation->slot;
 	error = kwb_link_send(&entry->loop, target->link, &frame);
 	if (error != 0) {
-		registry_close_request(&entry->registry, generation->request);
+		registry_close_request(
+		    &entry->registry, generation->request_id);
 		peers_release(entry, target, error);
 		return error;
 	}
 	if (generation->tokens.count > 0)
 		kwb_metric_add(KWB_METRIC_RESUMES, 1);
-	generation->starts++;
+	generation->starts_count++;
 	generation->state = GENERATION_RUNNING;
 	generation->last_token_ns = kwb_clock_now_ns();
 	return 0;
@@ -206,9 +207,9 @@
 	    "event=broken key=%s vm=%s error=%s tokens=%u", generation->key,
 	    generation->target.vm, kwb_error_name(error),
 	    generation->tokens.count);
-	generation->avoid_peer = generation->target.peer;
+	generation->avoid_peer = generation->target.peer_index;
 	generation->error = error;
 	generation->state = GENERATION_PENDING;
-	registry_close_request(&entry->registry, generation->request);
+	registry_close_request(&entry->registry, generation->request_id);
 	peers_release(entry, &generation->target, error);
 }
--- a/src/call/inbox.c
+++ b/src/call/inbox.c
@@ -181,7 +181,7 @@
 		return;
 	}
 	event->kind = kind;
-	event->request = request->id;
+	event->request_id = request->id;
 	event->owner = request->owner;
 	event->frame = frame;
 	pthread_mutex_lock(&inbox->lock);
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -36,7 +36,7 @@
 	char failure_domain[KWB_NAME_MAX_BYTES];
 	char pool[KWB_NAME_MAX_BYTES]; /* of agents that serve alike */
 	struct kwb_address address;
-	bool wanted;		 /* chosen to be connected to */
+	bool is_wanted;		 /* chosen to be connected to */
 	bool listed_leaving;	 /* the VM list says so, or omits it */
 	uint64_t link;		 /* id of the link to it, 0 for none */
 	bool is_connected;	 /* its hello came on this link */
@@ -51,7 +51,7 @@
 	uint64_t reconnect_delay_ns; /* doubles with each try that fails */
 	uint64_t tripped_until_ns;   /* not chosen before: it failed */
 	uint64_t busy_until_ns;	     /* not chosen before: it was full */
-	unsigned failures;	     /* requests in a row that failed */
+	unsigned failures_count;     /* requests in a row that failed */
 	unsigned models_count;
 	struct peer_model models[KWB_MODELS_MAX];
 	unsigned plans_count;
@@ -66,7 +66,7 @@
 
 /* A slot reserved at a peer, and the peer's state when it was chosen. */
 struct target {
-	int peer; /* index in the table, -1 for none */
+	int peer_index; /* in the table, -1 for none */
 	char vm[KWB_NAME_MAX_BYTES];
 	uint64_t link;
 	uint64_t incarnation;
@@ -80,7 +80,7 @@
 struct event {
 	STAILQ_ENTRY(event) next;
 	enum event_kind kind;
-	uint64_t request;	 /* its id */
+	uint64_t request_id;
 	void *owner;		 /* as given when it was opened */
 	Kwb__Wire__Frame *frame; /* NULL when the link was lost */
 };
@@ -182,10 +182,10 @@
 	uint64_t slack_deadline_ns; /* earliest first, of one priority */
 	Kwb__Wire__Slot *slot;	    /* place of a sample in its step, or NULL */
 	struct inbox *inbox;	    /* gets its events */
-	uint64_t request;	    /* id while running */
+	uint64_t request_id;	    /* id while running */
 	struct target target;
 	int avoid_peer;		/* index of the last that failed, -1 for none */
-	unsigned starts;	/* so far */
+	unsigned starts_count;	/* so far */
 	uint64_t last_token_ns; /* arrival of tokens, or the start */
 	struct kwb_tokens tokens; /* kept when it is interrupted */
 	int error;		  /* of the last interruption; 0 when done */
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -83,8 +83,8 @@
 		if (error != 0 && !has_begun) {
 			http_refuse(connection,
 			    error == KWB_ERR_ROUTE_FULL ? 429 : 503,
-			    generation->starts > 0 ? KWB_OUTCOME_UNKNOWN
-						   : KWB_OUTCOME_NOT_RUN,
+			    generation->starts_count > 0 ? KWB_OUTCOME_UNKNOWN
+							 : KWB_OUTCOME_NOT_RUN,
 			    error, exchange->id);
 			return;
 		}
@@ -143,7 +143,7 @@
 	    entry_plan_state(exchange->entry, exchange->plan_name);
 	int error;
 
-	if (generation->starts == 0)
+	if (generation->starts_count == 0)
 		kwb_retry_budget_add_try(&plan_state->retry_budget);
 	else if (generation->error != KWB_ERR_CALL_BUSY && (*retries)++ > 0 &&
 	    !kwb_retry_budget_take(&plan_state->retry_budget))
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -193,7 +193,7 @@
 		peer->is_connected = true;
 		peer->incarnation = hello->incarnation;
 		peer->reconnect_delay_ns = 0;
-		peer->failures = 0;
+		peer->failures_count = 0;
 		if (hello->status != NULL)
 			peer_apply_status(
 			    peer, hello->lists_revision, hello->status);
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -49,7 +49,7 @@
 	struct kwb_choice choice;
 	unsigned i;
 
-	target->peer = -1;
+	target->peer_index = -1;
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		peer_fill_candidate(
@@ -81,7 +81,7 @@
 	struct peers *peers = &entry->peers;
 	int i, error = KWB_ERR_ROUTE_NONE;
 
-	target->peer = -1;
+	target->peer_index = -1;
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX && error != 0; i++) {
 		struct peer *peer = &peers->peers[i];
@@ -105,9 +105,9 @@
 	struct peer *peer;
 	struct peer_plan *plan_use;
 
-	if (target->peer < 0)
+	if (target->peer_index < 0)
 		return;
-	peer = &entry->peers.peers[target->peer];
+	peer = &entry->peers.peers[target->peer_index];
 	pthread_mutex_lock(&entry->peers.lock);
 	if (strcmp(peer->vm, target->vm) == 0) {
 		plan_use = peer_plan_get(peer, target->plan);
@@ -120,11 +120,11 @@
 			    kwb_clock_now_ns() + KWB_PEER_BUSY_NS;
 		if (error == KWB_ERR_CALL_UPSTREAM ||
 		    error == KWB_ERR_CALL_DEADLINE)
-			peer->failures++;
+			peer->failures_count++;
 		else if (error == 0)
-			peer->failures = 0;
-		if (peer->failures >= KWB_PEER_TRIP_FAILURES) {
-			peer->failures = 0;
+			peer->failures_count = 0;
+		if (peer->failures_count >= KWB_PEER_TRIP_FAILURES) {
+			peer->failures_count = 0;
 			peer->tripped_until_ns =
 			    kwb_clock_now_ns() + KWB_PEER_TRIP_NS;
 			kwb_log(KWB_LOG_WARN, "member", "event=trip vm=%s",
@@ -132,7 +132,7 @@
 		}
 	}
 	pthread_mutex_unlock(&entry->peers.lock);
-	target->peer = -1;
+	target->peer_index = -1;
 }
 
 /* Updates the table from the VM list and the plans in demand here. */
@@ -150,13 +150,13 @@
 	    entry, vms, chosen + count, 2 * KWB_PEERS_MAX - count);
 	pthread_mutex_lock(&peers->lock);
 	for (i = 0; i < KWB_PEERS_MAX; i++)
-		peers->peers[i].wanted = false;
+		peers->peers[i].is_wanted = false;
 	for (i = 0; i < count; i++) {
 		struct peer *peer =
 		    peer_find_or_add(peers, &vms->vms[chosen[i]]);
 
 		if (peer != NULL)
-			peer->wanted = true;
+			peer->is_wanted = true;
 	}
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		peer_apply_listing(&peers->peers[i], vms);
@@ -225,7 +225,7 @@
 			break;
 	peer->listed_leaving =
 	    i == vms->count || vms->vms[i].state == KWB_VM_LEAVING;
-	if (!peer->wanted && peer->own_in_flight == 0 && peer->link == 0)
+	if (!peer->is_wanted && peer->own_in_flight == 0 && peer->link == 0)
 		memset(peer, 0, sizeof(*peer));
 }
 
@@ -241,7 +241,7 @@
 	for (i = 0; i < KWB_PEERS_MAX; i++) {
 		struct peer *peer = &peers->peers[i];
 
-		if (!peer->wanted || peer->link != 0 ||
+		if (!peer->is_wanted || peer->link != 0 ||
 		    now_ns < peer->next_reconnect_ns)
 			continue;
 		peer->reconnect_delay_ns *= 2;
@@ -289,7 +289,7 @@
 
 		if (!peer->is_connected || strcmp(peer->pool, pool) != 0)
 			continue;
-		targets[count].peer = i;
+		targets[count].peer_index = i;
 		targets[count].link = peer->link;
 		targets[count].incarnation = peer->incarnation;
 		kwb_text_copy(
@@ -467,7 +467,7 @@
 	const struct peer_model *state = peer_find_model(peer, model);
 	struct peer_plan *plan_use = peer_plan_get(peer, plan);
 
-	target->peer = index;
+	target->peer_index = index;
 	target->link = peer->link;
 	target->incarnation = peer->incarnation;
 	target->version = state ? state->version : 0;
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -331,8 +331,8 @@
 		if (generation->state != GENERATION_RUNNING)
 			continue;
 		input.silent_ns = now_ns - generation->last_token_ns;
-		input.idle_units = peers_idle_units(
-		    step->entry, step->plan.name, generation->target.peer);
+		input.idle_units = peers_idle_units(step->entry,
+		    step->plan.name, generation->target.peer_index);
 		if (kwb_hedge_is_due(&input))
 			sample_move(step, sample);
 	}
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -103,7 +103,7 @@
 	while (answered < count &&
 	    (event = inbox_wait(&step->inbox, deadline_ns)) != NULL) {
 		for (i = 0; i < count; i++) {
-			if (event->request != requests[i])
+			if (event->request_id != requests[i])
 				continue;
 			answered++;
 			if (event->kind == EVENT_FRAME &&
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -327,7 +327,7 @@
 			}
 		if (has_open_order(lead, peer->vm))
 			server->swapping = true;
-		targets[count].peer = (int)i;
+		targets[count].peer_index = (int)i;
 		targets[count].link = peer->link;
 		kwb_text_copy(
 		    targets[count].vm, sizeof(targets[count].vm), peer->vm);
@@ -394,7 +394,7 @@
 	for (i = 0; i < ORDERS_MAX; i++) {
 		struct open_order *order = &lead->orders[i];
 
-		if (order->request != event->request)
+		if (order->request != event->request_id)
 			continue;
 		if (reply != NULL && reply->error != 0) {
 			/* Sent again after a pause: at once, it would
