--- a/src/entry/http_call.c
+++ b/src/entry/http_call.c
@@ -1,5 +1,6 @@
 /*
- * Calls of plain services, and the tickets that name them beforehand.
+ * Calls of plain services, and tickets by which a caller can name a call before
+ * it is made, so that it can be sent again without running twice.
  */
 #include <stdio.h>
 #include <string.h>
@@ -8,10 +9,11 @@
 
 #define PATH_MAX_BYTES 1024
 
-static bool call_name(struct exchange *exchange, struct call *call);
+static bool call_read_name(struct exchange *exchange, struct call *call);
 static void call_reply(
     struct exchange *exchange, const struct call_answer *answer);
 
+/* Makes a call and sends its answer. A GET or HEAD is idempotent by default. */
 void
 http_call(struct exchange *exchange)
 {
@@ -29,7 +31,7 @@
 	    .body_bytes = exchange->body.used_bytes,
 	};
 
-	snprintf(path, sizeof(path), "%s%s%s", exchange->rest + 5,
+	snprintf(path, sizeof(path), "%s%s%s", exchange->subpath + 5,
 	    query ? "?" : "", query ? query : "");
 	call.content_type = mg_get_header(exchange->connection, "Content-Type");
 	if (call.content_type == NULL)
@@ -40,13 +42,14 @@
 	    : strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 	call.deadline_ns = http_deadline(
 	    exchange, rule ? rule->timeout_ms : KWB_CALL_TIMEOUT_MS);
-	if (!call_name(exchange, &call))
+	if (!call_read_name(exchange, &call))
 		return;
 	call_run(exchange->entry, &call, &answer);
 	call_reply(exchange, &answer);
 	kwb_buf_finish(&answer.body);
 }
 
+/* Makes a ticket: a new key, pinned to an agent that can take a call now. */
 void
 http_ticket(struct exchange *exchange)
 {
@@ -67,9 +70,13 @@
 	kwb_buf_finish(&text);
 }
 
-/* How the caller named the call: a ticket, its own key, or not at all. */
+/*
+ * Reads the ticket or key by which the caller named the call, if any. A ticket
+ * contains its pin; a key's is stored in the platform's table, where it stays
+ * the same for all entries. Refuses and returns false on error.
+ */
 static bool
-call_name(struct exchange *exchange, struct call *call)
+call_read_name(struct exchange *exchange, struct call *call)
 {
 	struct mg_connection *connection = exchange->connection;
 	const char *ticket = mg_get_header(connection, "X-Kwb-Ticket");
@@ -77,7 +84,7 @@
 	int length, error;
 
 	if (ticket != NULL) {
-		call->pinned = true;
+		call->is_named = true;
 		if (kwb_ticket_parse(&call->pin, ticket) == 0)
 			return true;
 		http_refuse(connection, 400, KWB_OUTCOME_NOT_RUN,
@@ -86,7 +93,7 @@
 	}
 	if (key == NULL)
 		return true;
-	call->pinned = true;
+	call->is_named = true;
 	length = snprintf(
 	    call->pin.key, sizeof(call->pin.key), "c/%s/%s", call->plan, key);
 	if (length >= (int)sizeof(call->pin.key) ||
@@ -102,11 +109,12 @@
 		    &exchange->entry->platform, call->plan, &call->pin);
 	if (error == 0)
 		return true;
-	/* This key may have run before, and that can't be looked up now. */
+	/* The key may have run before, and its pin can't be read now. */
 	http_refuse(connection, 503, KWB_OUTCOME_UNKNOWN, error, exchange->id);
 	return false;
 }
 
+/* Sends the answer of the service, or an error unless the call ran. */
 static void
 call_reply(struct exchange *exchange, const struct call_answer *answer)
 {
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -38,8 +38,8 @@
 		*fault = "no such training plan";
 		return KWB_ERR_ARGUMENT;
 	}
-	step->gate = entry_gate(step->entry, plan);
-	entry_demand(step->entry, step->gate);
+	step->gate = entry_plan_state(step->entry, plan);
+	entry_note_demand(step->entry, step->gate);
 	step->request = json_loads(body, 0, NULL);
 	if (!json_is_object(step->request)) {
 		*fault = "body is no JSON object";
@@ -103,7 +103,7 @@
 	while (answered < count &&
 	    (event = inbox_wait(&step->inbox, deadline_ns)) != NULL) {
 		for (i = 0; i < count; i++) {
-			if (event->request != requests[i])
+			if (event->request_id != requests[i])
 				continue;
 			answered++;
 			if (event->kind == EVENT_FRAME &&
