--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -876,7 +876,7 @@
 const char *kwb_prefix_map_find(struct kwb_prefix_map *map, const char *service,
     const char *prompt); /* id for its longest known prefix, NULL for none */
 
-/* ---- Dialect: the platform's messages and documents ------------------------
+/* ---- Codec: the platform's messages and documents --------------------------
  */
 
 /*
@@ -896,7 +896,7 @@
 /* Head of a client's request; its strings live as long as the message. */
 struct kwb_request_head {
 	enum kwb_request_kind kind;
-	const char *id;	      /* that the client gave it, "" when absent */
+	const char *id;	      /* chosen by the client, "" when absent */
 	const char *host;     /* "" when absent */
 	const char *prompt;   /* "PART:TOKENS,...", "" when absent */
 	uint64_t deadline_ns; /* 0 for none */
@@ -912,7 +912,7 @@
 	const char *target; /* path and query */
 	const char *host;
 	const char *id; /* "" for none */
-	/* Client's headers to pass on, less the hop-by-hop ones, or NULL. */
+	/* Passed on, except the hop-by-hop ones; NULL for none. */
 	const struct kwb_message *headers;
 	const void *body;
 	size_t body_bytes;
@@ -956,7 +956,7 @@
 	uint64_t version;
 	const char *holder;	   /* node that holds the lease for orders */
 	uint64_t fence;		   /* fencing token of that lease */
-	uint64_t expect_order_seq; /* orders that the upstream has accepted */
+	uint64_t expect_order_seq; /* refused when other than its own */
 	const char *expect_upstream_id; /* any other upstream refuses it */
 };
 
@@ -972,7 +972,7 @@
 
 /*
  * Translates the platform's HTTP messages. Functions named write_ append to
- * out. Those with a result return 0 or KWB_ERR_ARGUMENT or KWB_ERR_MEMORY.
+ * out. Results are 0, KWB_ERR_ARGUMENT or KWB_ERR_MEMORY.
  */
 struct kwb_message_codec {
 	const char *version_field; /* of events: version of the weights */
@@ -988,7 +988,7 @@
 	/* Writes a request that asks an upstream for its report. */
 	void (*write_report_request)(
 	    const struct kwb_address *address, struct evbuffer *out);
-	/* Parses the answer to it; KWB_ERR_ARGUMENT if that is no report. */
+	/* Parses the answer to that; KWB_ERR_ARGUMENT if it is no report. */
 	int (*parse_report)(const struct kwb_message *message,
 	    struct kwb_upstream_report *report);
 	/* Parses the head of an upstream's answer; never fails. */
