--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -273,7 +273,7 @@
 
 	if (end == exchange->subpath + 7 || strcmp(end, "/pull") != 0) {
 		http_refuse(exchange->connection, 404, KWB_OUTCOME_NOT_RUN,
-		    KWB_ERR_ARGUMENT, "path must be steps/N/pull, N a number");
+		    KWB_ERR_ARGUMENT, "path is steps/N/pull");
 		return;
 	}
 	step_serve(exchange->entry, exchange->connection, exchange->plan_name,
