--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1,6 +1,6 @@
 /*
- * Decisions of a node over tables of cases and small plays of load, and its
- * parsers over whole, split and mutated input.
+ * Unit tests of the node: its decision functions on tables of cases and in
+ * small simulations of load, and its parsers on valid, split and mutated input.
  */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -24,20 +24,19 @@
 #define MUTATIONS 3000
 #define MUTATION_SEED 20261204u
 
-/* ---- Routes ---------------------------------------------------------------
- */
+/* ---- Routes -------------------------------------------------------------- */
 
 static void
 test_route(void)
 {
-	struct kwb_route_split half[2] = {
+	struct kwb_route_split splits[2] = {
 	    {.service = "a", .weight = 1}, {.service = "b", .weight = 3}};
 	struct kwb_route_entry routes[] = {
 	    {.name = "short", .host = "h.example", .prefix = "/a/"},
 	    {.name = "long",
 		.host = "h.example",
 		.prefix = "/a/b/",
-		.splits = half,
+		.splits = splits,
 		.splits_count = 2},
 	    {.name = "other", .host = "o.example", .prefix = "/a/"}};
 	struct kwb_node_config config = {
@@ -52,7 +51,7 @@
 	    {"h.example", "/b/", NULL}, {"h.example.org", "/a/x", NULL},
 	    {"", "/a/x", NULL}};
 	const struct kwb_route_entry *route;
-	unsigned first = 0;
+	unsigned picked_a = 0;
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++) {
@@ -62,17 +61,17 @@
 		if (route != NULL && cases[i].name != NULL)
 			CU_ASSERT_STRING_EQUAL(route->name, cases[i].name);
 	}
+	/* The weights are 1 and 3. */
 	for (i = 0; i < 400; i++)
-		first += strcmp(kwb_route_entry_pick_service(&routes[1], i),
-			     "a") == 0;
-	CU_ASSERT_EQUAL(first, 100);
+		picked_a += strcmp(kwb_route_entry_pick_service(&routes[1], i),
+				"a") == 0;
+	CU_ASSERT_EQUAL(picked_a, 100);
 }
 
-/* ---- Parts of prompts
- * -------------------------------------------------------- */
+/* ---- Prompt prefixes ----------------------------------------------------- */
 
 static void
-test_parts(void)
+test_prompt_prefixes(void)
 {
 	static const struct {
 		const char *name;
@@ -80,15 +79,15 @@
 		const char *prompt;
 		const char *upstream; /* NULL for none */
 	} cases[] = {
-	    {"the same", "s", "a1:300,a2:40", "u1"},
-	    {"another session after the same part", "s", "a1:300,x:9", "u3"},
-	    {"the longest that is known", "s", "a1:300,a2:40,x:9", "u1"},
-	    {"the part alone", "s", "a1:300", "u3"},
-	    {"other tokens, same part", "s", "b1:299,b2:40", "u2"},
-	    {"a part without what was before it", "s", "a2:40", NULL},
-	    {"parts put together", "s", "a1a2:340", NULL},
+	    {"same prompt", "s", "a1:300,a2:40", "u1"},
+	    {"same first part, unknown second", "s", "a1:300,x:9", "u3"},
+	    {"longest known prefix", "s", "a1:300,a2:40,x:9", "u1"},
+	    {"first part alone, newest entry", "s", "a1:300", "u3"},
+	    {"other token count", "s", "b1:299,b2:40", "u2"},
+	    {"second part without the first", "s", "a2:40", NULL},
+	    {"names of parts joined", "s", "a1a2:340", NULL},
 	    {"another service", "t", "a1:300,a2:40", NULL},
-	    {"nothing", "s", "", NULL},
+	    {"empty prompt", "s", "", NULL},
 	    {"malformed", "s", ",,::,", NULL},
 	};
 	static struct kwb_prefix_map parts;
@@ -108,46 +107,47 @@
 	}
 }
 
-/* ---- Peers: the way to the store ------------------------------------------
- */
+/* ---- Peers: the path to the store ---------------------------------------- */
 
 static void
-test_path(void)
+test_store_path(void)
 {
-	const uint64_t quiet = KWB_PATH_SILENT_NS;
+	const uint64_t silent_ns = KWB_PATH_SILENT_NS;
 	const struct {
 		const char *name;
 		struct kwb_path_input input;
 		enum kwb_path path;
 	} cases[] = {
-	    {"answers", {.direct_silence_ns = quiet - 1}, KWB_PATH_DIRECT},
-	    {"has not asked", {.direct_silence_ns = quiet}, KWB_PATH_PROBE},
-	    {"has asked just now",
-		{.direct_silence_ns = quiet,
+	    {"direct path answers", {.direct_silence_ns = silent_ns - 1},
+		KWB_PATH_DIRECT},
+	    {"direct path silent, no probe sent",
+		{.direct_silence_ns = silent_ns}, KWB_PATH_PROBE},
+	    {"probe just sent",
+		{.direct_silence_ns = silent_ns,
 		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS - 1},
 		KWB_PATH_PROBE},
 	    {"silent",
-		{.direct_silence_ns = quiet,
+		{.direct_silence_ns = silent_ns,
 		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS},
 		KWB_PATH_SEARCH},
-	    {"a peer answers",
-		{.direct_silence_ns = quiet,
-		    .relay_silence_ns = quiet - 1,
+	    {"relay answers",
+		{.direct_silence_ns = silent_ns,
+		    .relay_silence_ns = silent_ns - 1,
 		    .is_relayed = true},
 		KWB_PATH_RELAY},
-	    {"answered by a peer before, not in use",
-		{.direct_silence_ns = quiet,
+	    {"relay answered, but is not in use",
+		{.direct_silence_ns = silent_ns,
 		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS,
 		    .relay_silence_ns = 0},
 		KWB_PATH_SEARCH},
-	    {"the peer falls silent, too",
-		{.direct_silence_ns = quiet,
+	    {"relay silent, too",
+		{.direct_silence_ns = silent_ns,
 		    .probe_unanswered_ns = KWB_PATH_UNANSWERED_NS,
-		    .relay_silence_ns = quiet,
+		    .relay_silence_ns = silent_ns,
 		    .is_relayed = true},
 		KWB_PATH_SEARCH},
-	    {"answers again", {.direct_silence_ns = 0, .is_relayed = true},
-		KWB_PATH_DIRECT},
+	    {"direct path answers again",
+		{.direct_silence_ns = 0, .is_relayed = true}, KWB_PATH_DIRECT},
 	};
 	unsigned i;
 
@@ -157,21 +157,23 @@
 }
 
 static void
-test_relay_accepts(void)
+test_relay_can_accept(void)
 {
-	const uint64_t fresh = KWB_RELAY_FRESH_NS;
+	const uint64_t fresh_ns = KWB_RELAY_FRESH_NS;
 	const struct {
 		const char *name;
 		struct kwb_relay_input input;
-		bool accepts;
+		bool can_accept;
 	} cases[] = {
-	    {"sound", {.direct_silence_ns = fresh - 1, .pairs_max = 1}, true},
-	    {"cut itself", {.direct_silence_ns = fresh, .pairs_max = 1}, false},
-	    {"goes through a peer itself",
+	    {"direct path answers this node",
+		{.direct_silence_ns = fresh_ns - 1, .pairs_max = 1}, true},
+	    {"direct path silent for this node",
+		{.direct_silence_ns = fresh_ns, .pairs_max = 1}, false},
+	    {"own calls are relayed",
 		{.direct_silence_ns = 0, .is_relayed = true, .pairs_max = 1},
 		false},
-	    {"full", {.direct_silence_ns = 0, .pairs = 1, .pairs_max = 1},
-		false},
+	    {"relay connections at the limit",
+		{.direct_silence_ns = 0, .pairs = 1, .pairs_max = 1}, false},
 	    {"stopping",
 		{.direct_silence_ns = 0, .is_stopping = true, .pairs_max = 1},
 		false},
@@ -179,56 +181,64 @@
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_relay_can_accept(&cases[i].input) != cases[i].accepts)
+		if (kwb_relay_can_accept(&cases[i].input) !=
+		    cases[i].can_accept)
 			CU_FAIL(cases[i].name);
 }
 
-/* The peers that a node finds on the ring tell how many nodes there are. */
+/*
+ * A node estimates the number of nodes from the positions of its nearest peers
+ * on the hash ring. The estimate may be off by a factor of 2.
+ */
 static void
-test_fleet(void)
+test_node_count_estimate(void)
 {
 	static const uint32_t sizes[] = {3, 16, 17, 88, 410, 1000};
 	static struct kwb_peers peers;
 	static struct kwb_node_settings settings;
 	char name[KWB_NAME_MAX_BYTES];
-	uint64_t own;
-	uint64_t at;
-	uint64_t farthest;
-	uint32_t fleet;
+	uint64_t own_position;
+	uint64_t distance;
+	uint64_t last_distance;
+	uint32_t estimate;
 	unsigned i;
-	unsigned k;
-	unsigned n;
+	unsigned peer;
+	unsigned node;
 
 	kwb_text_copy(settings.node, sizeof(settings.node), "node-0");
-	own = kwb_peer_ring_position(settings.node);
+	own_position = kwb_peer_ring_position(settings.node);
 	for (i = 0; i < COUNT(sizes); i++) {
 		memset(&peers, 0, sizeof(peers));
 		peers.settings = &settings;
-		/* The nearest behind the own place, in order. */
-		farthest = 0;
-		for (k = 0; k < KWB_STORE_PEERS_MAX && k + 1 < sizes[i]; k++) {
-			uint64_t best = UINT64_MAX;
-
-			for (n = 1; n < sizes[i]; n++) {
-				snprintf(name, sizeof(name), "node-%u", n);
-				at = kwb_peer_ring_position(name) - own;
-				if (at > farthest && at < best) {
-					best = at;
-					kwb_text_copy(peers.known[k].node,
-					    sizeof(peers.known[k].node), name);
+		/* The nearest peers after this node, in ring order. */
+		last_distance = 0;
+		for (peer = 0;
+		     peer < KWB_STORE_PEERS_MAX && peer + 1 < sizes[i];
+		     peer++) {
+			uint64_t nearest = UINT64_MAX;
+
+			for (node = 1; node < sizes[i]; node++) {
+				snprintf(name, sizeof(name), "node-%u", node);
+				distance =
+				    kwb_peer_ring_position(name) - own_position;
+				if (distance > last_distance &&
+				    distance < nearest) {
+					nearest = distance;
+					kwb_text_copy(peers.known[peer].node,
+					    sizeof(peers.known[peer].node),
+					    name);
 				}
 			}
-			farthest = best;
+			last_distance = nearest;
 			peers.known_count++;
 		}
-		fleet = kwb_peers_estimate_nodes(&peers);
-		CU_ASSERT(fleet * 2 >= sizes[i]);
-		CU_ASSERT(fleet <= sizes[i] * 2);
+		estimate = kwb_peers_estimate_nodes(&peers);
+		CU_ASSERT(estimate * 2 >= sizes[i]);
+		CU_ASSERT(estimate <= sizes[i] * 2);
 	}
 }
 
-/* ---- Choice of an upstream --------------------------------------------------
- */
+/* ---- Choice of an upstream ----------------------------------------------- */
 
 struct upstream_case {
 	const char *id;
@@ -239,15 +249,15 @@
 	uint64_t backoff_until_ns;
 	uint64_t pace_ms;
 	uint64_t version;
-	const char *home;
-	uint64_t expected;
+	const char *assigned_model;
+	uint64_t expected_version;
 	bool draining;
 };
 
 #define NOW_NS (1000000 * KWB_MS_NS)
 
 static void
-fill(struct kwb_registry *registry, const struct upstream_case *cases,
+fill_registry(struct kwb_registry *registry, const struct upstream_case *cases,
     unsigned count)
 {
 	struct kwb_upstream_status status;
@@ -274,23 +284,27 @@
 		upstream->backoff_until_ns = cases[i].backoff_until_ns;
 		upstream->pace_ns = cases[i].pace_ms * KWB_MS_NS;
 		upstream->pace_updated_ns = NOW_NS;
-		upstream->expected_version = cases[i].expected;
-		if (cases[i].home != NULL)
+		upstream->expected_version = cases[i].expected_version;
+		if (cases[i].assigned_model != NULL)
 			kwb_text_copy(upstream->assigned_model,
-			    KWB_NAME_MAX_BYTES, cases[i].home);
+			    KWB_NAME_MAX_BYTES, cases[i].assigned_model);
 	}
 }
 
-/* Slowness of some upstreams, and a pause on the way, leave it as it is. */
+/*
+ * The median pace stays low when an upstream slows down, when another is always
+ * slow, and when samples below KWB_PACE_MIN_NS arrive, as they do when a pause
+ * of the network has held answers back.
+ */
 static void
-test_usual_pace(void)
+test_median_pace(void)
 {
 	struct upstream_case cases[3] = {{.id = "a"}, {.id = "b"}, {.id = "c"}};
 	struct kwb_registry registry;
-	uint64_t usual_ns;
+	uint64_t median_ns;
 	unsigned i;
 
-	fill(&registry, cases, 3);
+	fill_registry(&registry, cases, 3);
 	CU_ASSERT(
 	    kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns()) == 0);
 	for (i = 0; i < 60; i++)
@@ -298,8 +312,9 @@
 	for (i = 0; i < 60; i++)
 		kwb_upstream_record_pace(
 		    registry.upstreams[0], 130 * KWB_MS_NS);
-	usual_ns = kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
-	CU_ASSERT(usual_ns >= 40 * KWB_MS_NS && usual_ns < 48 * KWB_MS_NS);
+	median_ns =
+	    kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
+	CU_ASSERT(median_ns >= 40 * KWB_MS_NS && median_ns < 48 * KWB_MS_NS);
 	CU_ASSERT(registry.upstreams[0]->pace_ns > 120 * KWB_MS_NS);
 	for (i = 0; i < 60; i++) {
 		kwb_upstream_record_pace(registry.upstreams[1], 40 * KWB_MS_NS);
@@ -308,8 +323,9 @@
 		kwb_upstream_record_pace(
 		    registry.upstreams[2], 130 * KWB_MS_NS);
 	}
-	usual_ns = kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
-	CU_ASSERT(usual_ns >= 40 * KWB_MS_NS && usual_ns < 48 * KWB_MS_NS);
+	median_ns =
+	    kwb_registry_median_pace(&registry, "s", kwb_clock_now_ns());
+	CU_ASSERT(median_ns >= 40 * KWB_MS_NS && median_ns < 48 * KWB_MS_NS);
 	CU_ASSERT(
 	    kwb_registry_median_pace(&registry, "t", kwb_clock_now_ns()) == 0);
 	kwb_registry_finish(&registry);
@@ -324,101 +340,121 @@
 		struct upstream_case upstreams[3];
 		const char *chosen;
 	} cases[] = {
-	    {"none listed", {.service = "s"}, {{NULL}}, NULL},
+	    {"empty registry", {.service = "s"}, {{NULL}}, NULL},
 	    {"other service", {.service = "t"}, {{.id = "a"}}, NULL},
 	    {"draining", {.service = "s"}, {{.id = "a", .draining = true}},
 		NULL},
 	    {"least load", {.service = "s"},
 		{{.id = "a", .in_flight = 2}, {.id = "b", .in_flight = 1}},
 		"b"},
-	    {"own domain first", {.service = "s", .failure_domain = "z2"},
+	    {"same failure domain preferred",
+		{.service = "s", .failure_domain = "z2"},
 		{{.id = "a", .domain = "z1"}, {.id = "b", .domain = "z2"}},
 		"b"},
-	    {"load goes before domain",
+	    {"load outweighs the domain",
 		{.service = "s", .failure_domain = "z2"},
 		{{.id = "a", .domain = "z1"},
 		    {.id = "b", .domain = "z2", .in_flight = 3}},
 		"a"},
-	    {"plain work varies: not slow", {.service = "s"},
+	    {"a third slower is within variation", {.service = "s"},
 		{{.id = "a", .pace_ms = 30, .in_flight = 1},
 		    {.id = "b", .pace_ms = 40}},
 		"b"},
-	    {"clearly slow", {.service = "s"},
+	    {"four times slower is avoided", {.service = "s"},
 		{{.id = "a", .pace_ms = 30, .in_flight = 1},
 		    {.id = "b", .pace_ms = 120}},
 		"a"},
-	    {"suspected is left alone", {.service = "s"},
+	    {"suspected upstream is avoided", {.service = "s"},
 		{{.id = "a", .failures = 2, .suspect_until_ns = NOW_NS + 1},
 		    {.id = "b", .in_flight = 4}},
 		"b"},
-	    {"suspected is better than none", {.service = "s"},
+	    {"only upstream is suspected", {.service = "s"},
 		{{.id = "a", .failures = 2, .suspect_until_ns = NOW_NS + 1}},
 		"a"},
-	    {"tried again after the wait", {.service = "s"},
+	    {"probed when the suspicion expires", {.service = "s"},
 		{{.id = "a", .failures = 2, .suspect_until_ns = NOW_NS},
 		    {.id = "b", .in_flight = 4}},
 		"a"},
-	    {"just refused", {.service = "s"},
+	    {"refused lately, backoff", {.service = "s"},
 		{{.id = "a", .backoff_until_ns = NOW_NS + 1}}, NULL},
 	    {"no slot free", {.service = "s", .needs_free_slot = true},
 		{{.id = "a", .in_flight = 4}}, NULL},
-	    {"the one that read the prompt",
+	    {"upstream with the cached prefix",
 		{.service = "s", .affinity_id = "b"},
 		{{.id = "a"}, {.id = "b"}}, "b"},
-	    {"unless it is much fuller", {.service = "s", .affinity_id = "b"},
+	    {"cached prefix, but much more load",
+		{.service = "s", .affinity_id = "b"},
 		{{.id = "a"}, {.id = "b", .in_flight = 3}}, "a"},
-	    {"unless it is suspected", {.service = "s", .affinity_id = "b"},
+	    {"cached prefix, but suspected",
+		{.service = "s", .affinity_id = "b"},
 		{{.id = "a"},
 		    {.id = "b", .failures = 2, .suspect_until_ns = NOW_NS + 1}},
 		"a"},
 	    {"weights too old",
 		{.service = "s", .model = "m", .min_version = 3},
 		{{.id = "a", .version = 2}, {.id = "b", .version = 3}}, "b"},
-	    {"home first", {.service = "s", .model = "m", .min_version = 1},
+	    {"assigned replica first",
+		{.service = "s", .model = "m", .min_version = 1},
 		{{.id = "a", .version = 2},
-		    {.id = "b", .version = 1, .home = "m", .in_flight = 2}},
+		    {.id = "b",
+			.version = 1,
+			.assigned_model = "m",
+			.in_flight = 2}},
 		"b"},
-	    {"other upstreams when homes are full",
+	    {"assigned replicas are full",
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
 		    .needs_free_slot = true},
 		{{.id = "a", .version = 2},
-		    {.id = "b", .version = 1, .home = "m", .in_flight = 4}},
+		    {.id = "b",
+			.version = 1,
+			.assigned_model = "m",
+			.in_flight = 4}},
 		"a"},
-	    {"an item is no probe while a home is sound",
+	    {"no item probes while a replica is healthy",
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
 		    .needs_free_slot = true},
 		{{.id = "a",
 		     .version = 1,
-		     .home = "m",
+		     .assigned_model = "m",
 		     .failures = 2,
 		     .suspect_until_ns = NOW_NS},
-		    {.id = "b", .version = 1, .home = "m", .in_flight = 3}},
+		    {.id = "b",
+			.version = 1,
+			.assigned_model = "m",
+			.in_flight = 3}},
 		"b"},
-	    {"but where the sound ones are full",
+	    {"an item probes if healthy replicas are full",
 		{.service = "s",
 		    .model = "m",
 		    .min_version = 1,
 		    .needs_free_slot = true},
 		{{.id = "a",
 		     .version = 1,
-		     .home = "m",
+		     .assigned_model = "m",
 		     .failures = 2,
 		     .suspect_until_ns = NOW_NS},
-		    {.id = "b", .version = 1, .home = "m", .in_flight = 4}},
+		    {.id = "b",
+			.version = 1,
+			.assigned_model = "m",
+			.in_flight = 4}},
 		"a"},
-	    {"ordered weights are tried by one request",
+	    {"first request for an ordered version",
 		{.service = "s", .model = "m", .min_version = 3},
-		{{.id = "a", .version = 2, .home = "m", .expected = 3}}, "a"},
-	    {"and not by a second one",
+		{{.id = "a",
+		    .version = 2,
+		    .assigned_model = "m",
+		    .expected_version = 3}},
+		"a"},
+	    {"second request for an ordered version",
 		{.service = "s", .model = "m", .min_version = 3},
 		{{.id = "a",
 		    .version = 2,
-		    .home = "m",
-		    .expected = 3,
+		    .assigned_model = "m",
+		    .expected_version = 3,
 		    .in_flight = 1}},
 		NULL},
 	};
@@ -428,7 +464,7 @@
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		fill(&registry, cases[i].upstreams, 3);
+		fill_registry(&registry, cases[i].upstreams, 3);
 		pick = cases[i].pick;
 		pick.now_ns = NOW_NS;
 		chosen = kwb_upstream_pick(&registry, &pick);
@@ -459,11 +495,10 @@
 	CU_ASSERT_EQUAL(upstream.failures, 0);
 }
 
-/* ---- Homes and loads
- * ----------------------------------------------------------- */
+/* ---- Replica assignment and weight loads --------------------------------- */
 
 static unsigned
-homes_of(const struct kwb_replica_assignment *upstreams, unsigned count,
+count_replicas(const struct kwb_replica_assignment *upstreams, unsigned count,
     const char *model)
 {
 	unsigned found = 0;
@@ -475,65 +510,66 @@
 }
 
 static void
-test_homes(void)
+test_replica_assignment(void)
 {
 	struct kwb_replica_assignment upstreams[9];
-	struct kwb_replica_assignment before[9];
+	struct kwb_replica_assignment previous[9];
 	struct kwb_model_demand models[] = {
 	    {"a", 100, 0}, {"b", 200, 0}, {"c", 0, 0}};
 	static const char *const ids[] = {
 	    "1", "2", "3", "4", "5", "6", "7", "8", "9"};
-	unsigned moved = 0;
+	unsigned moved_count = 0;
 	unsigned i;
 
 	memset(upstreams, 0, sizeof(upstreams));
 	for (i = 0; i < 9; i++)
 		upstreams[i].id = ids[i];
 	kwb_replicas_assign(upstreams, 9, models, 3);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "a"), 2);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 4);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "c"), 3);
-	/* The same again moves nothing. */
-	memcpy(before, upstreams, sizeof(before));
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "a"), 2);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "b"), 4);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "c"), 3);
+	/* The same input again moves nothing. */
+	memcpy(previous, upstreams, sizeof(previous));
 	kwb_replicas_assign(upstreams, 9, models, 3);
-	CU_ASSERT_EQUAL(memcmp(before, upstreams, sizeof(before)), 0);
-	/* One less: at most one moves. */
+	CU_ASSERT_EQUAL(memcmp(previous, upstreams, sizeof(previous)), 0);
+	/* One upstream less: at most one other changes its model. */
 	kwb_replicas_assign(upstreams, 8, models, 3);
 	for (i = 0; i < 8; i++)
-		moved += strcmp(before[i].model, upstreams[i].model) != 0;
-	CU_ASSERT(moved <= 1);
+		moved_count +=
+		    strcmp(previous[i].model, upstreams[i].model) != 0;
+	CU_ASSERT(moved_count <= 1);
 	/* Fewer upstreams than models: each still has a model. */
 	memset(upstreams, 0, sizeof(upstreams));
 	kwb_replicas_assign(upstreams, 2, models, 3);
 	CU_ASSERT(upstreams[0].model[0] != '\0');
 	CU_ASSERT(upstreams[1].model[0] != '\0');
-	/* No more replicas than a model's batches can fill; the others rest. */
+	/* replicas_max limits each model; the other upstreams get none. */
 	memset(upstreams, 0, sizeof(upstreams));
 	models[0].replicas_max = models[1].replicas_max =
 	    models[2].replicas_max = 2;
 	kwb_replicas_assign(upstreams, 9, models, 3);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "a"), 2);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 2);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, ""), 3);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "a"), 2);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "b"), 2);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, ""), 3);
 	models[1].replicas_max = 1;
 	kwb_replicas_assign(upstreams, 9, models, 3);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, "b"), 1);
-	CU_ASSERT_EQUAL(homes_of(upstreams, 9, ""), 4);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, "b"), 1);
+	CU_ASSERT_EQUAL(count_replicas(upstreams, 9, ""), 4);
 	models[0].replicas_max = models[1].replicas_max =
 	    models[2].replicas_max = 0;
-	/* A model that is no longer there. */
+	/* A model that no longer exists is replaced. */
 	kwb_text_copy(upstreams[0].model, KWB_NAME_MAX_BYTES, "gone");
 	kwb_replicas_assign(upstreams, 1, models, 3);
 	CU_ASSERT_STRING_NOT_EQUAL(upstreams[0].model, "gone");
 }
 
 static void
-test_load_wanted(void)
+test_weight_load_urgency(void)
 {
 	static const struct {
 		const char *name;
 		struct kwb_weight_load_input input;
-		enum kwb_weight_load_urgency wanted;
+		enum kwb_weight_load_urgency urgency;
 	} cases[] = {
 	    {"newest",
 		{.version = 5,
@@ -543,7 +579,7 @@
 		    .serving = 4,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NONE},
-	    {"one behind, none newest yet",
+	    {"one behind, no replica is newest",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
@@ -551,7 +587,7 @@
 		    .serving = 4,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_AHEAD},
-	    {"one behind, most are newest",
+	    {"one behind, most replicas are newest",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
@@ -560,7 +596,7 @@
 		    .serving = 4,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NONE},
-	    {"the only one that serves",
+	    {"only serving replica",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
@@ -568,7 +604,7 @@
 		    .serving = 1,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NONE},
-	    {"of no use any more",
+	    {"too far behind to serve",
 		{.version = 3,
 		    .newest = 5,
 		    .lag = 1,
@@ -576,7 +612,7 @@
 		    .replicas_newest = 4,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NOW},
-	    {"the only one, and a batch that is open can't use it",
+	    {"only replica, too old for an open batch",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
@@ -584,7 +620,7 @@
 		    .replicas = 1,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NOW},
-	    {"another one has what the open batch needs",
+	    {"another replica can serve the open batch",
 		{.version = 4,
 		    .newest = 5,
 		    .lag = 1,
@@ -595,7 +631,7 @@
 		    .serving = 2,
 		    .loading_max = 2},
 		KWB_WEIGHT_LOAD_NONE},
-	    {"too many load",
+	    {"limit of concurrent loads",
 		{.version = 3,
 		    .newest = 5,
 		    .lag = 1,
@@ -614,121 +650,126 @@
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_weight_load_urgency(&cases[i].input) != cases[i].wanted)
+		if (kwb_weight_load_urgency(&cases[i].input) !=
+		    cases[i].urgency)
 			CU_FAIL(cases[i].name);
 }
 
-#define PLAY_MODELS 3
-#define PLAY_HOMES 14
-#define PLAY_PERIOD 80 /* ticks of 50 ms between two versions */
-#define PLAY_LOAD 18   /* ticks that a load takes */
-#define PLAY_MOST 8    /* loads at once */
-#define PLAY_EARLY 24  /* ticks in which a batch places its items */
-
-struct play {
-	uint64_t version[PLAY_MODELS * PLAY_HOMES];
-	unsigned until[PLAY_MODELS * PLAY_HOMES]; /* end of the load */
-	unsigned loading;
-	unsigned served; /* replicas ready, summed over early ticks */
-	unsigned early;	 /* such ticks */
+#define LOAD_SIM_MODELS 3
+#define LOAD_SIM_REPLICAS 14	    /* of each model */
+#define LOAD_SIM_VERSION_TICKS 80   /* ticks of 50 ms between two versions */
+#define LOAD_SIM_LOAD_TICKS 18	    /* duration of a weight load */
+#define LOAD_SIM_LOADS_MAX 8	    /* concurrent loads of all models */
+#define LOAD_SIM_PLACEMENT_TICKS 24 /* in which a batch starts its items */
+
+struct load_sim {
+	uint64_t version[LOAD_SIM_MODELS * LOAD_SIM_REPLICAS];
+	unsigned load_end_tick[LOAD_SIM_MODELS * LOAD_SIM_REPLICAS];
+	unsigned loading;	  /* loads under way, of all models */
+	unsigned ready_sum;	  /* replicas that serve, summed over ... */
+	unsigned placement_ticks; /* ... so many ticks of placement */
 };
 
+/* Starts the weight loads of one model that are due in this tick. */
 static void
-play_model(struct play *play, unsigned model, unsigned tick,
+load_sim_step(struct load_sim *sim, unsigned model, unsigned tick,
     enum kwb_weight_load_urgency urgency)
 {
-	unsigned shifted = tick + model * PLAY_PERIOD / PLAY_MODELS;
+	unsigned shifted =
+	    tick + model * LOAD_SIM_VERSION_TICKS / LOAD_SIM_MODELS;
 	struct kwb_weight_load_input input = {
-	    .newest = 1 + shifted / PLAY_PERIOD,
+	    .newest = 1 + shifted / LOAD_SIM_VERSION_TICKS,
 	    .lag = 1,
-	    .replicas = PLAY_HOMES,
-	    .loading_max = PLAY_MOST};
-	unsigned first = model * PLAY_HOMES;
+	    .replicas = LOAD_SIM_REPLICAS,
+	    .loading_max = LOAD_SIM_LOADS_MAX};
+	unsigned begin = model * LOAD_SIM_REPLICAS;
 	unsigned i;
 
-	for (i = first; i < first + PLAY_HOMES; i++) {
-		bool loading = play->until[i] > tick;
+	for (i = begin; i < begin + LOAD_SIM_REPLICAS; i++) {
+		bool loading = sim->load_end_tick[i] > tick;
 
 		input.replicas_loading += loading;
-		input.replicas_newest += play->version[i] >= input.newest;
+		input.replicas_newest += sim->version[i] >= input.newest;
 		input.serving +=
-		    !loading && play->version[i] + 1 >= input.newest;
+		    !loading && sim->version[i] + 1 >= input.newest;
 	}
 	if (urgency == KWB_WEIGHT_LOAD_NOW && tick > 500 &&
-	    shifted % PLAY_PERIOD < PLAY_EARLY) {
-		play->served += input.serving;
-		play->early++;
+	    shifted % LOAD_SIM_VERSION_TICKS < LOAD_SIM_PLACEMENT_TICKS) {
+		sim->ready_sum += input.serving;
+		sim->placement_ticks++;
 	}
-	for (i = first; i < first + PLAY_HOMES; i++) {
-		input.version = play->version[i];
-		input.loading = play->loading;
-		if (play->until[i] > tick ||
+	for (i = begin; i < begin + LOAD_SIM_REPLICAS; i++) {
+		input.version = sim->version[i];
+		input.loading = sim->loading;
+		if (sim->load_end_tick[i] > tick ||
 		    kwb_weight_load_urgency(&input) != urgency)
 			continue;
-		play->version[i] = input.newest;
-		play->until[i] = tick + PLAY_LOAD;
-		play->loading++;
+		sim->version[i] = input.newest;
+		sim->load_end_tick[i] = tick + LOAD_SIM_LOAD_TICKS;
+		sim->loading++;
 		input.replicas_loading++;
 		input.replicas_newest++;
 	}
 }
 
 /*
- * Three trainers that name a version every 4 s, 14 replicas each; the part of a
- * model's replicas that a batch finds ready while it places its items. The
- * baseline loads a home only when it must.
+ * Simulates three trainers that publish a version every 4 s, with 14 replicas
+ * each. Returns the mean share of a model's replicas that can serve while a
+ * batch starts its items. The baseline loads weights only when it must
+ * (KWB_WEIGHT_LOAD_NOW), without early loads.
  */
 static double
-play_loads(bool baseline)
+simulate_loads(bool is_baseline)
 {
-	struct play play;
+	struct load_sim sim;
 	unsigned model;
 	unsigned tick;
 	unsigned i;
 
-	memset(&play, 0, sizeof(play));
-	for (i = 0; i < PLAY_MODELS * PLAY_HOMES; i++)
-		play.version[i] = 1;
+	memset(&sim, 0, sizeof(sim));
+	for (i = 0; i < LOAD_SIM_MODELS * LOAD_SIM_REPLICAS; i++)
+		sim.version[i] = 1;
 	for (tick = 0; tick < 1600; tick++) {
-		play.loading = 0;
-		for (i = 0; i < PLAY_MODELS * PLAY_HOMES; i++)
-			play.loading += play.until[i] > tick;
-		for (model = 0; model < PLAY_MODELS; model++)
-			play_model(&play, model, tick, KWB_WEIGHT_LOAD_NOW);
-		for (model = 0; model < PLAY_MODELS && !baseline; model++)
-			play_model(&play, model, tick, KWB_WEIGHT_LOAD_AHEAD);
+		sim.loading = 0;
+		for (i = 0; i < LOAD_SIM_MODELS * LOAD_SIM_REPLICAS; i++)
+			sim.loading += sim.load_end_tick[i] > tick;
+		for (model = 0; model < LOAD_SIM_MODELS; model++)
+			load_sim_step(&sim, model, tick, KWB_WEIGHT_LOAD_NOW);
+		for (model = 0; model < LOAD_SIM_MODELS && !is_baseline;
+		     model++)
+			load_sim_step(&sim, model, tick, KWB_WEIGHT_LOAD_AHEAD);
 	}
-	return (double)play.served / play.early / PLAY_HOMES;
+	return (double)sim.ready_sum / sim.placement_ticks / LOAD_SIM_REPLICAS;
 }
 
 static void
-test_loads_leave_homes(void)
+test_early_loads_keep_replicas_ready(void)
 {
-	double ours = play_loads(false);
-	double baseline = play_loads(true);
+	double ready_share = simulate_loads(false);
+	double baseline_share = simulate_loads(true);
 
-	CU_ASSERT(ours >= 0.72);
-	CU_ASSERT(ours >= baseline * 1.25);
+	CU_ASSERT(ready_share >= 0.72);
+	CU_ASSERT(ready_share >= baseline_share * 1.25);
 	if (getenv("KWB_PLAY") != NULL)
-		printf(
-		    "loads: homes ready %.3f, baseline %.3f\n", ours, baseline);
+		printf("loads: replicas ready %.3f, baseline %.3f\n",
+		    ready_share, baseline_share);
 }
 
-/* ---- Order of items, and moves
- * ----------------------------------------------------- */
+/* ---- Items: order, moves, stalls and ownership --------------------------- */
 
 static void
-test_rank(void)
+test_item_rank(void)
 {
 	static const struct {
 		const char *name;
 		struct kwb_item_rank first;
 		struct kwb_item_rank second;
 	} cases[] = {
-	    {"wanted group", {.wanted = true}, {.length_hint = 900}},
-	    {"begun", {.wanted = true, .events_count = 1},
+	    {"group that the trainer waits for", {.wanted = true},
+		{.length_hint = 900}},
+	    {"already started", {.wanted = true, .events_count = 1},
 		{.wanted = true, .length_hint = 900}},
-	    {"longer", {.wanted = true, .length_hint = 900},
+	    {"longer expected output", {.wanted = true, .length_hint = 900},
 		{.wanted = true, .length_hint = 800}},
 	    {"earlier group", {.wanted = true, .group_index = 1},
 		{.wanted = true, .group_index = 2}},
@@ -744,80 +785,84 @@
 }
 
 static void
-test_priority(void)
+test_item_priority(void)
 {
-	const struct kwb_item_rank begun = {.wanted = true, .events_count = 1};
-	const struct kwb_item_rank fresh = {.wanted = true};
-	const struct kwb_item_rank spare = {.events_count = 1};
-
-	CU_ASSERT(KWB_PRIORITY_CALLER < kwb_item_priority(&begun));
-	CU_ASSERT(kwb_item_priority(&begun) < kwb_item_priority(&fresh));
-	CU_ASSERT(kwb_item_priority(&fresh) < kwb_item_priority(&spare));
-	CU_ASSERT(kwb_item_priority(&spare) <= 9);
+	const struct kwb_item_rank started = {
+	    .wanted = true, .events_count = 1};
+	const struct kwb_item_rank not_started = {.wanted = true};
+	const struct kwb_item_rank not_wanted = {.events_count = 1};
+
+	CU_ASSERT(KWB_PRIORITY_CALLER < kwb_item_priority(&started));
+	CU_ASSERT(
+	    kwb_item_priority(&started) < kwb_item_priority(&not_started));
+	CU_ASSERT(
+	    kwb_item_priority(&not_started) < kwb_item_priority(&not_wanted));
+	CU_ASSERT(kwb_item_priority(&not_wanted) <= 9);
 }
 
 static int
-by_rank(const void *a, const void *b)
+compare_ranks(const void *a, const void *b)
 {
 	return kwb_item_rank_compare(a, b);
 }
 
-/* Time until the last of 160 items is done on 48 places. */
+/* Time until the last of 160 items has run on 48 slots. */
 static double
-play_batch(unsigned *seed, bool ranked)
+simulate_batch(unsigned *seed, bool is_ranked)
 {
 	struct kwb_item_rank items[160];
 	double free_at[48] = {0};
-	double last = 0;
+	double makespan = 0;
 	unsigned i;
-	unsigned k;
+	unsigned slot;
 
 	for (i = 0; i < 160; i++) {
-		unsigned tail = rand_r(seed) % 12 == 0 ? 5 : 1;
+		/* One item in twelve is five times longer. */
+		unsigned length_factor = rand_r(seed) % 12 == 0 ? 5 : 1;
 
 		items[i] = (struct kwb_item_rank){.wanted = true,
 		    .group_index = i,
-		    .length_hint = tail * (5 + rand_r(seed) % 30)};
+		    .length_hint = length_factor * (5 + rand_r(seed) % 30)};
 	}
-	if (ranked)
-		qsort(items, 160, sizeof(items[0]), by_rank);
+	if (is_ranked)
+		qsort(items, 160, sizeof(items[0]), compare_ranks);
 	for (i = 0; i < 160; i++) {
-		unsigned best = 0;
-
-		for (k = 1; k < 48; k++)
-			if (free_at[k] < free_at[best])
-				best = k;
-		free_at[best] += (double)items[i].length_hint;
-		if (free_at[best] > last)
-			last = free_at[best];
+		unsigned earliest = 0;
+
+		for (slot = 1; slot < 48; slot++)
+			if (free_at[slot] < free_at[earliest])
+				earliest = slot;
+		free_at[earliest] += (double)items[i].length_hint;
+		if (free_at[earliest] > makespan)
+			makespan = free_at[earliest];
 	}
-	return last;
+	return makespan;
 }
 
 static void
-test_order_of_items(void)
+test_item_order_makespan(void)
 {
 	unsigned seed = 7;
-	double ours = 0;
-	double baseline = 0;
+	double ranked_sum = 0;
+	double unranked_sum = 0;
 	unsigned i;
 
 	for (i = 0; i < 50; i++) {
-		unsigned same = seed + i;
+		unsigned batch_seed = seed + i; /* the same batch twice */
 
-		ours += play_batch(&same, true);
-		same = seed + i;
-		baseline += play_batch(&same, false);
+		ranked_sum += simulate_batch(&batch_seed, true);
+		batch_seed = seed + i;
+		unranked_sum += simulate_batch(&batch_seed, false);
 	}
-	CU_ASSERT(ours <= 0.85 * baseline);
+	CU_ASSERT(ranked_sum <= 0.85 * unranked_sum);
 }
 
 static void
-test_move(void)
+test_item_move(void)
 {
 	static const struct {
 		struct kwb_move_input input;
-		bool wanted;
+		bool is_worthwhile;
 	} cases[] = {
 	    {{.pace_ns = 100, .best_pace_ns = 0, .elapsed_ns = KWB_MOVE_MIN_NS},
 		false},
@@ -839,27 +884,28 @@
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		CU_ASSERT_EQUAL(
-		    kwb_move_is_worthwhile(&cases[i].input), cases[i].wanted);
+		CU_ASSERT_EQUAL(kwb_move_is_worthwhile(&cases[i].input),
+		    cases[i].is_worthwhile);
 }
 
 static void
-test_silence(void)
+test_item_stall(void)
 {
 	static const struct {
 		struct kwb_stall_input input;
-		bool silent;
+		bool is_stalled;
 	} cases[] = {
 	    {{.elapsed_ns = 590 * KWB_MS_NS, .has_begun = true}, false},
 	    {{.elapsed_ns = 610 * KWB_MS_NS, .has_begun = true}, true},
-	    {{.elapsed_ns = 610 * KWB_MS_NS}, false}, /* its prompt is read */
+	    /* The upstream may still read the prompt. */
+	    {{.elapsed_ns = 610 * KWB_MS_NS}, false},
 	    {{.elapsed_ns = 1010 * KWB_MS_NS}, true},
-	    /* A load takes 900 ms. */
+	    /* A weight load takes 900 ms. */
 	    {{.elapsed_ns = 1400 * KWB_MS_NS,
 		 .has_begun = true,
 		 .is_loading = true},
 		false},
-	    /* A slow one, five times the usual pace. */
+	    /* A slow upstream, five times the usual pace. */
 	    {{.elapsed_ns = 900 * KWB_MS_NS,
 		 .pace_ns = 240 * KWB_MS_NS,
 		 .has_begun = true},
@@ -869,20 +915,21 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_item_is_stalled(&cases[i].input), cases[i].silent);
+		    kwb_item_is_stalled(&cases[i].input), cases[i].is_stalled);
 }
 
 /*
- * Text 1 was written by a node that was taken for dead; text 2 goes on after
- * its event 20. Whatever rows are there, no event of one follows the other's.
+ * Text 1 was written by a node that was wrongly declared dead; text 2, of the
+ * next owner, continues it after event 20. Whichever chunks are stored, later
+ * events of the two texts must not be joined.
  */
 static void
-test_pieces(void)
+test_text_chunks(void)
 {
 	static const struct {
-		struct kwb_text_chunk before;
-		struct kwb_text_chunk piece;
-		bool joins;
+		struct kwb_text_chunk previous;
+		struct kwb_text_chunk chunk;
+		bool follows;
 	} cases[] = {
 	    {{0}, {.text_id = 1, .first_event = 1, .last_event = 20}, true},
 	    {{.text_id = 1, .first_event = 1, .last_event = 20},
@@ -905,14 +952,14 @@
 		    .first_event = 36,
 		    .last_event = 50},
 		true},
-	    /* The dead one wakes up and writes on. */
+	    /* The former owner resumes and writes more. */
 	    {{.text_id = 2,
 		 .parent_text_id = 1,
 		 .parent_last_event = 20,
 		 .first_event = 21,
 		 .last_event = 40},
 		{.text_id = 1, .first_event = 41, .last_event = 60}, false},
-	    /* Its late write took the place of text 2's first piece. */
+	    /* The former owner's late write replaced text 2's first chunk. */
 	    {{.text_id = 1, .first_event = 21, .last_event = 35},
 		{.text_id = 2,
 		    .parent_text_id = 1,
@@ -920,14 +967,14 @@
 		    .first_event = 36,
 		    .last_event = 50},
 		false},
-	    /* A piece was lost. */
+	    /* A chunk was lost. */
 	    {{.text_id = 1, .first_event = 1, .last_event = 20},
 		{.text_id = 1, .first_event = 31, .last_event = 40}, false},
 	    {{0}, {.text_id = 1, .first_event = 21, .last_event = 40}, false},
-	    /* The same events again, at another key. */
+	    /* Events overlap: written again under another key. */
 	    {{.text_id = 1, .first_event = 1, .last_event = 20},
 		{.text_id = 1, .first_event = 16, .last_event = 30}, false},
-	    /* Its first piece was lost, a text resumed from one not there. */
+	    /* Text 2 resumes text 1, whose chunks were lost. */
 	    {{0},
 		{.text_id = 2,
 		    .parent_text_id = 1,
@@ -940,18 +987,19 @@
 
 	for (i = 0; i < COUNT(cases); i++)
 		CU_ASSERT_EQUAL(
-		    kwb_text_chunk_follows(&cases[i].piece, &cases[i].before),
-		    cases[i].joins);
+		    kwb_text_chunk_follows(&cases[i].chunk, &cases[i].previous),
+		    cases[i].follows);
 }
 
 #define AT_MS(ms) ((uint64_t)(ms)*KWB_MS_NS)
 
 /*
- * A node that has just died is given a batch by one that does not know yet: the
- * silence goes on from its last beat. One that was idle has time to begin.
+ * A batch may be assigned to a node that has just died. Its silence counts from
+ * its last heartbeat, so the assignment delays no claim. For a node that was
+ * idle, which sends no heartbeats, the silence counts from the assignment.
  */
 static void
-test_owner_silence(void)
+test_owner_expiry(void)
 {
 	struct kwb_node_heartbeat dead = {.revision = 7,
 	    .changed = true,
@@ -974,76 +1022,76 @@
 	CU_ASSERT_TRUE(kwb_heartbeat_is_expired(&idle, AT_MS(31600)));
 }
 
-#define CLAIM_NODES 40
+#define CLAIM_NODES 40 /* in all, of which CLAIM_LARGE_NODES are large */
 #define CLAIM_NODES_MAX 410
-#define CLAIM_LARGE 21
-#define CLAIM_PLAYS 200
-#define FEED_NS (30 * KWB_MS_NS) /* until all know of a claim */
+#define CLAIM_LARGE_NODES 21
+#define CLAIM_TRIALS 200
+#define CLAIM_VISIBLE_NS (30 * KWB_MS_NS) /* until all nodes see a claim */
 
 /*
- * A batch loses its owner; 21 nodes of half a core and 19 of 0.09 see it. It is
- * claimed soon, by few, and mostly by a large one.
+ * Simulates a batch that loses its owner while `large` nodes of half a core and
+ * small ones of 0.09 cores, `nodes` in all, see it. On average it must be
+ * claimed within 20 ms and by fewer than 12 nodes, and a small node may be the
+ * first in less than a quarter of the trials.
  */
-/* Large nodes and small ones, and how many claims a silent owner brings. */
 static void
-play_claims(uint32_t large, uint32_t nodes)
+simulate_claims(uint32_t large, uint32_t nodes)
 {
-	uint64_t state = 88172645463325252ull;
+	uint64_t random_state = 88172645463325252ull;
 	uint64_t sum_ns = 0;
 	unsigned claims = 0;
 	unsigned small_first = 0;
-	unsigned play;
+	unsigned trial;
 	unsigned i;
 
-	for (play = 0; play < CLAIM_PLAYS; play++) {
-		uint64_t wait_ns[CLAIM_NODES_MAX];
+	for (trial = 0; trial < CLAIM_TRIALS; trial++) {
+		uint64_t delay_ns[CLAIM_NODES_MAX];
 		uint64_t first_ns = UINT64_MAX;
-		bool is_small = false;
+		bool is_first_small = false;
 
 		for (i = 0; i < nodes; i++) {
-			state ^= state << 13;
-			state ^= state >> 7;
-			state ^= state << 17;
-			wait_ns[i] = kwb_claim_delay_ns(
-			    i < large ? 500 : 90, nodes, state >> 16);
-			if (wait_ns[i] < first_ns) {
-				first_ns = wait_ns[i];
-				is_small = i >= large;
+			random_state ^= random_state << 13;
+			random_state ^= random_state >> 7;
+			random_state ^= random_state << 17;
+			delay_ns[i] = kwb_claim_delay_ns(
+			    i < large ? 500 : 90, nodes, random_state >> 16);
+			if (delay_ns[i] < first_ns) {
+				first_ns = delay_ns[i];
+				is_first_small = i >= large;
 			}
 		}
 		for (i = 0; i < nodes; i++)
-			claims += wait_ns[i] < first_ns + FEED_NS;
+			claims += delay_ns[i] < first_ns + CLAIM_VISIBLE_NS;
 		sum_ns += first_ns;
-		small_first += is_small;
+		small_first += is_first_small;
 	}
-	CU_ASSERT_TRUE(claims < 12 * CLAIM_PLAYS);
-	CU_ASSERT_TRUE(sum_ns < 20 * KWB_MS_NS * CLAIM_PLAYS);
-	CU_ASSERT_TRUE(small_first * 4 < CLAIM_PLAYS);
+	CU_ASSERT_TRUE(claims < 12 * CLAIM_TRIALS);
+	CU_ASSERT_TRUE(sum_ns < 20 * KWB_MS_NS * CLAIM_TRIALS);
+	CU_ASSERT_TRUE(small_first * 4 < CLAIM_TRIALS);
 }
 
 static void
-test_claims(void)
+test_claim_delays(void)
 {
-	play_claims(CLAIM_LARGE, CLAIM_NODES);
-	/* At the coming size, too. */
-	play_claims(CLAIM_LARGE * 11, CLAIM_NODES_MAX);
+	simulate_claims(CLAIM_LARGE_NODES, CLAIM_NODES);
+	/* A fleet of ten times the size. */
+	simulate_claims(CLAIM_LARGE_NODES * 11, CLAIM_NODES_MAX);
 }
 
 static void
-test_owner_size(void)
+test_owner_is_kept(void)
 {
 	CU_ASSERT_TRUE(kwb_owner_is_kept(500, 500));
 	CU_ASSERT_TRUE(kwb_owner_is_kept(500, 90));
 	CU_ASSERT_TRUE(kwb_owner_is_kept(300, 500));
 	CU_ASSERT_FALSE(kwb_owner_is_kept(90, 500));
 	CU_ASSERT_TRUE(kwb_owner_is_kept(90, 90));
-	CU_ASSERT_TRUE(kwb_owner_is_kept(0, 90)); /* size not told */
+	CU_ASSERT_TRUE(kwb_owner_is_kept(0, 90)); /* size unknown */
 }
 
-/* ---- Parsers
- * ------------------------------------------------------------------------ */
+/* ---- Parsers, store calls and traces ------------------------------------- */
 
-struct collected {
+struct event_collector {
 	unsigned count;
 	uint64_t last_id;
 	uint64_t version;
@@ -1051,141 +1099,146 @@
 };
 
 static void
-on_event(void *context, const struct kwb_sse_event *event)
+collector_on_event(void *context, const struct kwb_sse_event *event)
 {
-	struct collected *collected = context;
+	struct event_collector *collector = context;
 
-	collected->count++;
-	collected->last_id = event->id;
+	collector->count++;
+	collector->last_id = event->id;
 	if (event->version != 0)
-		collected->version = event->version;
-	kwb_text_copy(collected->data, sizeof(collected->data),
+		collector->version = event->version;
+	kwb_text_copy(collector->data, sizeof(collector->data),
 	    kwb_buf_text(&event->data));
 }
 
-/* Whatever the cuts between packets, the events are the same. */
+/* The events are the same however the stream is split into reads. */
 static void
-test_events(void)
+test_sse_events(void)
 {
 	static const char text[] = ": comment\nid: 1\ndata: a\ndata: b\n\n"
 				   "weight-versions: 3\r\nid: 2\r\ndata: c\r\n"
 				   "\r\nid: 3\ndata: cut off\n";
-	struct collected collected;
-	struct kwb_sse_parser events;
+	struct event_collector collector;
+	struct kwb_sse_parser parser;
 	struct kwb_buf bytes;
 	size_t step;
 	size_t at;
 
 	for (step = 1; step < sizeof(text); step++) {
-		memset(&collected, 0, sizeof(collected));
-		kwb_sse_parser_init(&events, "weight-versions");
+		memset(&collector, 0, sizeof(collector));
+		kwb_sse_parser_init(&parser, "weight-versions");
 		kwb_buf_init(&bytes);
 		for (at = 0; at < sizeof(text) - 1; at += step) {
 			size_t left = sizeof(text) - 1 - at;
 
 			kwb_buf_add(
 			    &bytes, text + at, left < step ? left : step);
-			CU_ASSERT_EQUAL(kwb_sse_parser_feed(&events, &bytes,
-					    on_event, &collected),
+			CU_ASSERT_EQUAL(kwb_sse_parser_feed(&parser, &bytes,
+					    collector_on_event, &collector),
 			    0);
 		}
-		CU_ASSERT_EQUAL(collected.count, 2);
-		CU_ASSERT_EQUAL(collected.last_id, 2);
-		CU_ASSERT_EQUAL(collected.version, 3);
-		CU_ASSERT_STRING_EQUAL(collected.data, "c");
-		kwb_sse_parser_finish(&events);
+		CU_ASSERT_EQUAL(collector.count, 2);
+		CU_ASSERT_EQUAL(collector.last_id, 2);
+		CU_ASSERT_EQUAL(collector.version, 3);
+		CU_ASSERT_STRING_EQUAL(collector.data, "c");
+		kwb_sse_parser_finish(&parser);
 		kwb_buf_finish(&bytes);
 	}
 }
 
 static void
-test_queued(void)
+test_item_queued(void)
 {
 	const struct {
 		const char *name;
 		struct kwb_stall_input input;
-		bool queued;
+		bool is_queued;
 	} cases[] = {
 	    {"just sent", {.elapsed_ns = KWB_QUEUED_NS - 1}, false},
 	    {"no event yet", {.elapsed_ns = KWB_QUEUED_NS}, true},
-	    {"events have come",
+	    {"events received",
 		{.elapsed_ns = KWB_QUEUED_NS, .has_begun = true}, false},
-	    {"weights change there",
+	    {"upstream loads weights",
 		{.elapsed_ns = KWB_QUEUED_NS, .is_loading = true}, false},
-	    {"a slow upstream",
+	    {"upstream is slow",
 		{.elapsed_ns = KWB_QUEUED_NS, .pace_ns = KWB_QUEUED_NS / 3},
 		false},
 	};
 	unsigned i;
 
 	for (i = 0; i < COUNT(cases); i++)
-		if (kwb_item_is_queued(&cases[i].input) != cases[i].queued)
+		if (kwb_item_is_queued(&cases[i].input) != cases[i].is_queued)
 			CU_FAIL(cases[i].name);
 }
 
-/* What may be sent to the store twice, and what the answers then mean. */
+/*
+ * Which transactions may be sent to the store twice, how the answers to the
+ * copies end the call, and when a copy is due.
+ */
 static void
-test_again(void)
+test_store_resend(void)
 {
 	const struct {
 		const char *name;
-		uint64_t expects_revision;
-		const char *expects, *puts, *removes; /* keys; NULL for none */
-		enum kwb_resend_policy again;
+		uint64_t expected_revision;
+		/* NULL for none */
+		const char *expected_key, *put_key, *removed_key;
+		enum kwb_resend_policy policy;
 	} writes[] = {
 	    {"new row", 0, "a", "a", NULL, KWB_RESEND_WRITE},
 	    {"changed row", 7, "a", "a", NULL, KWB_RESEND_WRITE},
 	    {"removed row", 7, "a", NULL, "a", KWB_RESEND_WRITE},
-	    {"removed when missing", 0, "a", NULL, "a", KWB_RESEND_NEVER},
+	    {"removed, expected missing", 0, "a", NULL, "a", KWB_RESEND_NEVER},
 	    {"condition on another row", 7, "a", "b", "c", KWB_RESEND_NEVER},
 	    {"without condition", 0, NULL, "a", NULL, KWB_RESEND_NEVER},
 	};
 	const struct {
 		const char *name;
-		enum kwb_resend_policy again;
-		uint32_t copies, others;
-		int error;
-		bool ends;
-		int told;
-	} ends[] = {
+		enum kwb_resend_policy policy;
+		uint32_t copies, open_copies;
+		int error; /* of this copy */
+		bool ends_call;
+		int reported_error;
+	} answers[] = {
 	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_UNKNOWN,
 		true, KWB_ERR_STORE_UNKNOWN},
 	    {"one write conflicts", KWB_RESEND_WRITE, 1, 0,
 		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_CONFLICT},
 	    {"done", KWB_RESEND_WRITE, 2, 1, 0, true, 0},
-	    {"a copy conflicts", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_CONFLICT,
-		true, KWB_ERR_STORE_UNKNOWN},
-	    {"a copy is refused", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_REFUSED,
-		false, KWB_ERR_STORE_REFUSED},
-	    {"the last is refused", KWB_RESEND_WRITE, 2, 0,
+	    {"a copy conflicts, another is open", KWB_RESEND_WRITE, 2, 1,
+		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_UNKNOWN},
+	    {"a copy is refused, another is open", KWB_RESEND_WRITE, 2, 1,
+		KWB_ERR_STORE_REFUSED, false, KWB_ERR_STORE_REFUSED},
+	    {"the last copy is refused", KWB_RESEND_WRITE, 2, 0,
 		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_UNKNOWN},
-	    {"nothing to read", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_MISSING,
-		true, KWB_ERR_STORE_MISSING},
-	    {"a read is cut off", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_UNKNOWN,
-		false, KWB_ERR_STORE_UNKNOWN},
+	    {"a read finds no row", KWB_RESEND_READ, 2, 1,
+		KWB_ERR_STORE_MISSING, true, KWB_ERR_STORE_MISSING},
+	    {"a copy of a read fails", KWB_RESEND_READ, 2, 1,
+		KWB_ERR_STORE_UNKNOWN, false, KWB_ERR_STORE_UNKNOWN},
 	};
 	unsigned i;
 
 	for (i = 0; i < COUNT(writes); i++) {
 		struct kwb_tx tx = {0};
 
-		if (writes[i].expects != NULL)
-			kwb_tx_expect(&tx, "t", "p", writes[i].expects,
-			    writes[i].expects_revision);
-		if (writes[i].puts != NULL)
-			kwb_tx_put(&tx, "t", "p", writes[i].puts, "v", 1);
-		if (writes[i].removes != NULL)
-			kwb_tx_remove(&tx, "t", "p", writes[i].removes);
-		if (kwb_tx_resend_policy(&tx) != writes[i].again)
+		if (writes[i].expected_key != NULL)
+			kwb_tx_expect(&tx, "t", "p", writes[i].expected_key,
+			    writes[i].expected_revision);
+		if (writes[i].put_key != NULL)
+			kwb_tx_put(&tx, "t", "p", writes[i].put_key, "v", 1);
+		if (writes[i].removed_key != NULL)
+			kwb_tx_remove(&tx, "t", "p", writes[i].removed_key);
+		if (kwb_tx_resend_policy(&tx) != writes[i].policy)
 			CU_FAIL(writes[i].name);
 	}
-	for (i = 0; i < COUNT(ends); i++) {
-		int error = ends[i].error;
-
-		if (kwb_resend_ends_call(ends[i].again, ends[i].copies,
-			ends[i].others, &error) != ends[i].ends ||
-		    error != ends[i].told)
-			CU_FAIL(ends[i].name);
+	for (i = 0; i < COUNT(answers); i++) {
+		int error = answers[i].error;
+
+		if (kwb_resend_ends_call(answers[i].policy, answers[i].copies,
+			answers[i].open_copies,
+			&error) != answers[i].ends_call ||
+		    error != answers[i].reported_error)
+			CU_FAIL(answers[i].name);
 	}
 	CU_ASSERT_FALSE(
 	    kwb_resend_is_due(KWB_RESEND_READ, 1, KWB_READ_RESEND_NS));
@@ -1200,7 +1253,7 @@
 }
 
 static void
-ignore_answer(
+probe_on_answer(
     struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	(void)answer;
@@ -1208,20 +1261,21 @@
 }
 
 /*
- * A probe through a peer says something of that way only, so its second copy
- * goes there, too, whichever way calls take by then.
+ * A probe through a peer tests that path only, so its second copy must take the
+ * same path, whichever path calls take by then.
  */
 static void
-test_again_same_way(void)
+test_store_resend_same_path(void)
 {
-	struct timeval later = {.tv_usec = KWB_READ_RESEND_NS / 1000 + 50000};
-	struct timeval soon = {.tv_usec = 100000};
+	struct timeval until_resend = {
+	    .tv_usec = KWB_READ_RESEND_NS / 1000 + 50000};
+	struct timeval until_connected = {.tv_usec = 100000};
 	struct event_base *base = event_base_new();
-	struct kwb_store_call call = {.on_done = ignore_answer};
-	int silent = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-	struct sockaddr_in bound = {
+	struct kwb_store_call call = {.on_done = probe_on_answer};
+	int listener = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+	struct sockaddr_in listener_address = {
 	    .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-	socklen_t bound_bytes = sizeof(bound);
+	socklen_t address_bytes = sizeof(listener_address);
 	struct platform_store store;
 	struct kwb_address own;
 	struct kwb_address peer;
@@ -1229,43 +1283,50 @@
 	char text[32];
 	int fd;
 
-	/* Takes connections into its queue and never answers. */
+	/* Connections wait in the listen queue and get no answer. */
 	CU_ASSERT_EQUAL(
-	    bind(silent, (struct sockaddr *)&bound, bound_bytes), 0);
-	CU_ASSERT_EQUAL(listen(silent, 8), 0);
-	getsockname(silent, (struct sockaddr *)&bound, &bound_bytes);
-	snprintf(text, sizeof(text), "127.0.0.1:%u", ntohs(bound.sin_port));
+	    bind(listener, (struct sockaddr *)&listener_address, address_bytes),
+	    0);
+	CU_ASSERT_EQUAL(listen(listener, 8), 0);
+	getsockname(
+	    listener, (struct sockaddr *)&listener_address, &address_bytes);
+	snprintf(text, sizeof(text), "127.0.0.1:%u",
+	    ntohs(listener_address.sin_port));
 	CU_ASSERT_EQUAL(kwb_address_parse(&peer, text), 0);
 	CU_ASSERT_EQUAL(kwb_address_parse(&own, "127.0.0.1:9"), 0);
 	CU_ASSERT_EQUAL(platform_store_init(&store, base, &own), 0);
 	store.store.relay = &peer;
 	CU_ASSERT_EQUAL(kwb_store_probe(&store.store, &call), 0);
 	store.store.relay = NULL;
-	event_base_loopexit(base, &later);
+	event_base_loopexit(base, &until_resend);
 	event_base_dispatch(base);
 	store.store.ops->resend_overdue(&store.store);
-	event_base_loopexit(base, &soon);
+	event_base_loopexit(base, &until_connected);
 	event_base_dispatch(base);
-	for (; (fd = accept(silent, NULL, NULL)) >= 0; connections++)
+	for (; (fd = accept(listener, NULL, NULL)) >= 0; connections++)
 		close(fd);
 	CU_ASSERT_EQUAL(connections, 2);
 	kwb_store_cancel(&store.store, &call);
 	platform_store_finish(&store);
 	event_base_free(base);
-	close(silent);
+	close(listener);
 }
 
 static void
-ended_done(struct kwb_exchange *exchange, int error)
+exchange_on_done(struct kwb_exchange *exchange, int error)
 {
 	*(int *)exchange->context = error;
 }
 
-/* A process paused past a deadline is told of it after the start, not in it. */
+/*
+ * An exchange whose deadline has passed before it starts, as in a process that
+ * was paused, must report its error after kwb_exchange_start(), not within it.
+ */
 static void
-test_paused_start(void)
+test_expired_deadline_at_start(void)
 {
-	static const struct kwb_exchange_ops ops = {.on_done = ended_done};
+	static const struct kwb_exchange_ops ops = {
+	    .on_done = exchange_on_done};
 	int error = 0;
 	struct kwb_exchange exchange = {
 	    .ops = &ops, .context = &error, .deadline_ns = 1};
@@ -1288,8 +1349,11 @@
 	event_base_free(base);
 }
 
-/* A step of two nodes, its lines as a collector may hand them over. */
-static const char *const traced_lines[] = {
+/*
+ * Log lines of a batch that two nodes ran, as a log collector may deliver them:
+ * out of order, with a prefix, and mixed with lines of other batches.
+ */
+static const char *const trace_lines[] = {
     "host-9 own: time_ms=4000 level=info process=n2 event=claimed batch=b",
     "item: time_ms=1050 level=info process=n1 event=start id=i1 batch=b "
     "group=g1 upstream=u1 events=0 reason=new",
@@ -1316,7 +1380,7 @@
     "item: time_ms=9000 level=info process=n2 event=completed id=i2 batch=b "
     "group=g2 upstream=- events=60 reason=scored",
     "batch: time_ms=9020 level=info process=n2 event=all_listed batch=b",
-    "no line of ours",
+    "a line of another program",
 };
 
 static void
@@ -1341,8 +1405,8 @@
 	unsigned i;
 
 	CU_ASSERT_EQUAL(kwb_trace_init(&trace, "b", NULL), 0);
-	for (i = 0; i < COUNT(traced_lines); i++)
-		CU_ASSERT_EQUAL(kwb_trace_add(&trace, traced_lines[i]), 0);
+	for (i = 0; i < COUNT(trace_lines); i++)
+		CU_ASSERT_EQUAL(kwb_trace_add(&trace, trace_lines[i]), 0);
 	CU_ASSERT_EQUAL(kwb_trace_explain(&trace), 0);
 	CU_ASSERT_STRING_EQUAL(trace.item, "i1");
 	CU_ASSERT_EQUAL(trace.store_away_ms, 500);
@@ -1360,95 +1424,99 @@
 	}
 	kwb_trace_finish(&trace);
 
-	/* What the logs don't hold is not guessed. */
+	/* Incomplete logs are an error; nothing is guessed. */
 	CU_ASSERT_EQUAL(kwb_trace_init(&trace, "b", NULL), 0);
-	CU_ASSERT_EQUAL(kwb_trace_add(&trace, traced_lines[1]), 0);
+	CU_ASSERT_EQUAL(kwb_trace_add(&trace, trace_lines[1]), 0);
 	CU_ASSERT_EQUAL(kwb_trace_explain(&trace), KWB_ERR_STORE_MISSING);
 	kwb_trace_finish(&trace);
 }
 
 /*
- * Rewards and callers at the same services, in virtual time: four upstreams of
- * six slots, bursts of 100 rewards of 200 ms that are ready at once, and calls
- * of 25 ms. What callers get, and when the last reward is there.
+ * Simulation in virtual time of score requests and callers that share a
+ * service: four upstreams of six slots, bursts of 100 score requests of 200 ms
+ * each, and calls of 25 ms. It counts late calls and finds when the last score
+ * is ready.
  */
-#define PLAY_UPSTREAMS 4
-#define PLAY_SLOTS 6
-#define PLAY_BURST 100
-#define PLAY_BURST_MS 4000
-#define PLAY_CALL_MS 15 /* between calls */
-#define PLAY_LENGTH_MS 12000
-#define PLAY_LATE_MS 150
-
-struct play_work {
-	uint32_t ready_ms;
-	uint32_t left_ms;
-	bool is_call;
-	bool is_placed;
-	uint32_t upstream;
+#define SCORE_SIM_UPSTREAMS 4
+#define SCORE_SIM_SLOTS 6
+#define SCORE_SIM_BURST 100	       /* score requests at once */
+#define SCORE_SIM_BURST_PERIOD_MS 4000 /* between bursts */
+#define SCORE_SIM_CALL_PERIOD_MS 15    /* between calls */
+#define SCORE_SIM_DURATION_MS 12000
+#define SCORE_SIM_LATE_MS 150 /* a call that takes longer is late */
+
+struct score_sim_request {
+	uint32_t arrived_ms;
+	uint32_t remaining_ms; /* of its run time */
+	bool is_call;	       /* else a score request */
+	bool is_placed;	       /* sent to its upstream */
+	uint32_t upstream;     /* its index */
 };
 
-struct play_result {
+struct score_sim_result {
 	uint32_t calls;
 	uint32_t calls_late;
-	uint32_t rewards_last_ms; /* after their burst */
+	uint32_t last_score_ms; /* longest time from burst to score */
 };
 
-/* Runs what is placed for a millisecond, first come first served. */
+/* Runs placed requests for 1 ms, in the order in which they arrived. */
 static void
-play_run(struct kwb_registry *registry, struct play_work *work, unsigned count,
-    uint32_t now_ms, struct play_result *result)
+score_sim_run_ms(struct kwb_registry *registry,
+    struct score_sim_request *requests, unsigned count, uint32_t now_ms,
+    struct score_sim_result *result)
 {
-	uint32_t running[PLAY_UPSTREAMS] = {0};
-	uint32_t taken_ms;
+	uint32_t running[SCORE_SIM_UPSTREAMS] = {0};
+	uint32_t elapsed_ms;
 	unsigned i;
 
 	for (i = 0; i < count; i++) {
-		if (!work[i].is_placed || work[i].left_ms == 0 ||
-		    running[work[i].upstream]++ >= PLAY_SLOTS)
+		if (!requests[i].is_placed || requests[i].remaining_ms == 0 ||
+		    running[requests[i].upstream]++ >= SCORE_SIM_SLOTS)
 			continue;
-		if (--work[i].left_ms > 0)
+		if (--requests[i].remaining_ms > 0)
 			continue;
-		registry->upstreams[work[i].upstream]->in_flight--;
-		taken_ms = now_ms + 1 - work[i].ready_ms;
-		if (work[i].is_call)
-			result->calls_late += taken_ms > PLAY_LATE_MS;
-		else if (taken_ms > result->rewards_last_ms)
-			result->rewards_last_ms = taken_ms;
+		registry->upstreams[requests[i].upstream]->in_flight--;
+		elapsed_ms = now_ms + 1 - requests[i].arrived_ms;
+		if (requests[i].is_call)
+			result->calls_late += elapsed_ms > SCORE_SIM_LATE_MS;
+		else if (elapsed_ms > result->last_score_ms)
+			result->last_score_ms = elapsed_ms;
 	}
 }
 
+/* Sends one request to an upstream, or leaves it for the next millisecond. */
 static void
-play_place(struct kwb_registry *registry, struct play_work *work,
-    uint32_t now_ms, bool leaves_room)
+score_sim_place(struct kwb_registry *registry,
+    struct score_sim_request *request, uint32_t now_ms, bool keeps_spare_slots)
 {
 	struct kwb_pick_criteria pick = {
 	    .service = "s", .now_ns = NOW_NS, .random = now_ms};
-	struct kwb_pick_criteria room = pick;
+	struct kwb_pick_criteria spare_pick = pick;
 	struct kwb_score_input input = {
-	    .waited_ns = (now_ms - work->ready_ms) * KWB_MS_NS,
+	    .waited_ns = (now_ms - request->arrived_ms) * KWB_MS_NS,
 	    .left_ns = 7500 * KWB_MS_NS};
 	struct kwb_upstream *upstream;
 	unsigned i;
 
-	room.needs_free_slot = true;
-	room.spare_divisor = KWB_SCORE_SPARE_DIVISOR;
-	input.has_room = kwb_upstream_pick(registry, &room) != NULL;
-	if (!work->is_call && leaves_room && !kwb_score_can_start(&input))
+	spare_pick.needs_free_slot = true;
+	spare_pick.spare_divisor = KWB_SCORE_SPARE_DIVISOR;
+	input.has_room = kwb_upstream_pick(registry, &spare_pick) != NULL;
+	if (!request->is_call && keeps_spare_slots &&
+	    !kwb_score_can_start(&input))
 		return;
 	upstream = kwb_upstream_pick(registry, &pick);
 	upstream->in_flight++;
-	work->is_placed = true;
-	for (i = 0; i < PLAY_UPSTREAMS; i++)
+	request->is_placed = true;
+	for (i = 0; i < SCORE_SIM_UPSTREAMS; i++)
 		if (registry->upstreams[i] == upstream)
-			work->upstream = i;
+			request->upstream = i;
 }
 
 static void
-play_rewards(bool leaves_room, struct play_result *result)
+simulate_scores(bool keeps_spare_slots, struct score_sim_result *result)
 {
-	static struct play_work work[2000];
-	struct upstream_case cases[PLAY_UPSTREAMS] = {
+	static struct score_sim_request work[2000];
+	struct upstream_case cases[SCORE_SIM_UPSTREAMS] = {
 	    {.id = "a"}, {.id = "b"}, {.id = "c"}, {.id = "d"}};
 	struct kwb_registry registry;
 	unsigned count = 0;
@@ -1456,66 +1524,71 @@
 	unsigned i;
 
 	memset(result, 0, sizeof(*result));
-	fill(&registry, cases, PLAY_UPSTREAMS);
-	for (i = 0; i < PLAY_UPSTREAMS; i++)
-		registry.upstreams[i]->status.slots = PLAY_SLOTS;
-	for (now_ms = 0; now_ms < PLAY_LENGTH_MS; now_ms++) {
-		for (i = 0; now_ms % PLAY_BURST_MS == 0 && i < PLAY_BURST; i++)
-			work[count++] = (struct play_work){
-			    .ready_ms = now_ms, .left_ms = 200};
-		if (now_ms % PLAY_CALL_MS == 0) {
-			work[count++] = (struct play_work){
-			    .ready_ms = now_ms, .left_ms = 25, .is_call = true};
+	fill_registry(&registry, cases, SCORE_SIM_UPSTREAMS);
+	for (i = 0; i < SCORE_SIM_UPSTREAMS; i++)
+		registry.upstreams[i]->status.slots = SCORE_SIM_SLOTS;
+	for (now_ms = 0; now_ms < SCORE_SIM_DURATION_MS; now_ms++) {
+		for (i = 0; now_ms % SCORE_SIM_BURST_PERIOD_MS == 0 &&
+		     i < SCORE_SIM_BURST;
+		     i++)
+			work[count++] = (struct score_sim_request){
+			    .arrived_ms = now_ms, .remaining_ms = 200};
+		if (now_ms % SCORE_SIM_CALL_PERIOD_MS == 0) {
+			work[count++] =
+			    (struct score_sim_request){.arrived_ms = now_ms,
+				.remaining_ms = 25,
+				.is_call = true};
 			result->calls++;
 		}
 		for (i = 0; i < count; i++)
 			if (!work[i].is_placed)
-				play_place(
-				    &registry, &work[i], now_ms, leaves_room);
-		play_run(&registry, work, count, now_ms, result);
+				score_sim_place(&registry, &work[i], now_ms,
+				    keeps_spare_slots);
+		score_sim_run_ms(&registry, work, count, now_ms, result);
 	}
 	kwb_registry_finish(&registry);
 }
 
 static void
-test_rewards_leave_room(void)
+test_scores_leave_spare_slots(void)
 {
-	struct play_result before;
-	struct play_result after;
-
-	play_rewards(false, &before);
-	play_rewards(true, &after);
-	/* What is asked: under 3 in 100 late, and no step later by much. */
-	CU_ASSERT(before.calls_late * 100 > before.calls * 10);
-	CU_ASSERT(after.calls_late * 100 < after.calls * 3);
-	CU_ASSERT(after.rewards_last_ms < before.rewards_last_ms + 500);
+	struct score_sim_result unlimited;
+	struct score_sim_result limited;
+
+	simulate_scores(false, &unlimited);
+	simulate_scores(true, &limited);
+	/* Under 3 % of calls late, and scores at most 0.5 s later. */
+	CU_ASSERT(unlimited.calls_late * 100 > unlimited.calls * 10);
+	CU_ASSERT(limited.calls_late * 100 < limited.calls * 3);
+	CU_ASSERT(limited.last_score_ms < unlimited.last_score_ms + 500);
 	if (getenv("KWB_PLAY") != NULL)
-		printf("rewards: calls late %u of %u, last reward %u ms; "
-		       "leaving room %u, %u ms\n",
-		    before.calls_late, before.calls, before.rewards_last_ms,
-		    after.calls_late, after.rewards_last_ms);
+		printf("scores: calls late %u of %u, last score %u ms; "
+		       "with spare slots %u, %u ms\n",
+		    unlimited.calls_late, unlimited.calls,
+		    unlimited.last_score_ms, limited.calls_late,
+		    limited.last_score_ms);
 }
 
-/* A line without end is an error before it is kept whole. */
+/* A line without end is an error as soon as it exceeds the limit. */
 static void
-test_long_event(void)
+test_oversized_sse_event(void)
 {
 	static char text[KWB_SSE_EVENT_MAX_BYTES / 4];
-	struct kwb_sse_parser events;
+	struct kwb_sse_parser parser;
 	struct kwb_buf bytes;
 	int code = 0;
 	unsigned i;
 
 	memset(text, 'x', sizeof(text));
-	kwb_sse_parser_init(&events, "v");
+	kwb_sse_parser_init(&parser, "v");
 	kwb_buf_init(&bytes);
 	for (i = 0; i < 5 && code == 0; i++) {
 		CU_ASSERT_EQUAL(kwb_buf_add(&bytes, text, sizeof(text)), 0);
-		code = kwb_sse_parser_feed(&events, &bytes, NULL, NULL);
+		code = kwb_sse_parser_feed(&parser, &bytes, NULL, NULL);
 	}
 	CU_ASSERT_EQUAL(i, 5);
 	CU_ASSERT_EQUAL(code, KWB_ERR_NET_BODY_SIZE);
-	kwb_sse_parser_finish(&events);
+	kwb_sse_parser_finish(&parser);
 	kwb_buf_finish(&bytes);
 }
 
@@ -1524,7 +1597,7 @@
 {
 	static const struct {
 		const char *text;
-		const char *fault; /* part of it; NULL for none */
+		const char *fault; /* part of the message; NULL for valid */
 	} cases[] = {
 	    {"node-name=n\nzone=z\nlisten.front=10.0.0.1:80\n"
 	     "listen.ready=10.0.0.1:81\nplatform.addr=10.0.0.2:82\n"
@@ -1544,9 +1617,9 @@
 	struct kwb_faults faults;
 	char path[] = "/tmp/kwb-settings-XXXXXX";
 	int fd = mkstemp(path);
-	unsigned found;
+	unsigned matches;
 	unsigned i;
-	unsigned k;
+	unsigned fault_index;
 
 	CU_ASSERT(fd >= 0);
 	for (i = 0; i < COUNT(cases); i++) {
@@ -1557,11 +1630,12 @@
 		CU_ASSERT_EQUAL(
 		    platform_settings_load(&settings, path, &faults) == 0,
 		    cases[i].fault == NULL);
-		found = 0;
-		for (k = 0; k < faults.count; k++)
-			found += cases[i].fault != NULL &&
-			    strstr(faults.text[k], cases[i].fault) != NULL;
-		CU_ASSERT_EQUAL(found, cases[i].fault != NULL);
+		matches = 0;
+		for (fault_index = 0; fault_index < faults.count; fault_index++)
+			matches += cases[i].fault != NULL &&
+			    strstr(faults.text[fault_index], cases[i].fault) !=
+				NULL;
+		CU_ASSERT_EQUAL(matches, cases[i].fault != NULL);
 	}
 	CU_ASSERT_EQUAL(settings.grace_ms, 8000);
 	close(fd);
@@ -1641,37 +1715,38 @@
 	kwb_batch_spec_finish(&spec);
 }
 
+/* Writes `text` with 1 to 4 random changes to `out`; returns its length. */
 static size_t
-mutate(char *to, size_t room_bytes, const char *from, unsigned *seed)
+mutate(char *out, size_t capacity_bytes, const char *text, unsigned *seed)
 {
-	size_t length = strlen(from);
+	size_t length = strlen(text);
 	unsigned changes = 1 + rand_r(seed) % 4;
 
-	if (length > room_bytes)
-		length = room_bytes;
-	memcpy(to, from, length);
+	if (length > capacity_bytes)
+		length = capacity_bytes;
+	memcpy(out, text, length);
 	while (changes-- > 0 && length > 2) {
 		size_t at = (unsigned)rand_r(seed) % length;
 
 		switch (rand_r(seed) % 4) {
 		case 0:
-			to[at] = (char)rand_r(seed);
+			out[at] = (char)rand_r(seed);
 			break;
 		case 1:
 			length = at + 1;
 			break;
 		case 2:
-			memmove(to + at, to + at + 1, length - at - 1);
+			memmove(out + at, out + at + 1, length - at - 1);
 			length--;
 			break;
 		default:
-			to[at] = "{}[]\",:0-\n\r "[rand_r(seed) % 12];
+			out[at] = "{}[]\",:0-\n\r "[rand_r(seed) % 12];
 		}
 	}
 	return length;
 }
 
-/* No input ends the process, and what is refused leaves nothing behind. */
+/* No input crashes the parsers, and what they reject leaks no memory. */
 static void
 test_mutated_documents(void)
 {
@@ -1695,57 +1770,58 @@
 		length = mutate(text, sizeof(text), upstream_text, &seed);
 		platform_parse_upstream(&status, "i", text, length);
 	}
-	CU_ASSERT_EQUAL(i, MUTATIONS); /* no input ended the process */
+	CU_ASSERT_EQUAL(i, MUTATIONS); /* no input crashed */
 }
 
-struct parsed {
+struct parse_result {
 	unsigned messages;
 	unsigned errors;
-	bool over;
+	bool is_closed;
 };
 
 static void
-parsed_message(struct kwb_conn *conn)
+parser_on_message(struct kwb_conn *conn)
 {
-	struct parsed *parsed = conn->context;
+	struct parse_result *result = conn->context;
 	struct kwb_request_head call;
 
-	parsed->messages++;
+	result->messages++;
 	platform_message_codec.parse_request(&conn->message, &call);
 	kwb_conn_read_next(conn);
 }
 
 static void
-parsed_close(struct kwb_conn *conn, int error)
+parser_on_close(struct kwb_conn *conn, int error)
 {
-	struct parsed *parsed = conn->context;
+	struct parse_result *result = conn->context;
 
-	parsed->errors += error != KWB_ERR_NET_CLOSED;
-	parsed->over = true;
+	result->errors += error != KWB_ERR_NET_CLOSED;
+	result->is_closed = true;
 	kwb_conn_finish(conn);
 }
 
-static const struct kwb_conn_ops parsed_ops = {
-    .on_message = parsed_message,
-    .on_close = parsed_close,
+static const struct kwb_conn_ops parser_ops = {
+    .on_message = parser_on_message,
+    .on_close = parser_on_close,
 };
 
+/* Feeds the bytes to a connection, `step` bytes at a time, and closes it. */
 static void
 parse_bytes(struct event_base *base, const char *bytes, size_t length,
-    size_t step, struct parsed *parsed)
+    size_t step, struct parse_result *result)
 {
 	struct kwb_conn conn;
-	unsigned turns;
+	unsigned rounds;
 	int fds[2];
 	size_t at;
 
-	memset(parsed, 0, sizeof(*parsed));
+	memset(result, 0, sizeof(*result));
 	if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) != 0 ||
-	    kwb_conn_accept(&conn, base, fds[0], &parsed_ops, parsed) != 0)
+	    kwb_conn_accept(&conn, base, fds[0], &parser_ops, result) != 0)
 		abort();
 	conn.head_max_bytes = 4096;
 	conn.body_max_bytes = 4096;
-	for (at = 0; at < length && !parsed->over; at += step) {
+	for (at = 0; at < length && !result->is_closed; at += step) {
 		size_t left = length - at;
 
 		if (write(fds[1], bytes + at, left < step ? left : step) < 0)
@@ -1753,32 +1829,32 @@
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
 	close(fds[1]);
-	for (turns = 0; turns < 20 && !parsed->over; turns++)
+	for (rounds = 0; rounds < 20 && !result->is_closed; rounds++)
 		event_base_loop(base, EVLOOP_NONBLOCK);
-	CU_ASSERT(parsed->over);
+	CU_ASSERT(result->is_closed);
 }
 
 static void
-test_requests(void)
+test_request_parser(void)
 {
 	struct event_base *base = event_base_new();
 	size_t length = strlen(request_text);
 	unsigned seed = MUTATION_SEED;
-	struct parsed parsed;
+	struct parse_result result;
 	char text[1024];
 	size_t step;
 	unsigned i;
 
 	for (step = 1; step <= length; step++) {
-		parse_bytes(base, request_text, length, step, &parsed);
-		CU_ASSERT_EQUAL(parsed.messages, 2);
-		CU_ASSERT_EQUAL(parsed.errors, 0);
+		parse_bytes(base, request_text, length, step, &result);
+		CU_ASSERT_EQUAL(result.messages, 2);
+		CU_ASSERT_EQUAL(result.errors, 0);
 	}
 	for (i = 0; i < MUTATIONS; i++) {
 		length = mutate(text, sizeof(text), request_text, &seed);
 		parse_bytes(base, text, length, 1 + (size_t)rand_r(&seed) % 64,
-		    &parsed);
-		CU_ASSERT(parsed.messages <= 2);
+		    &result);
+		CU_ASSERT(result.messages <= 2);
 	}
 	event_base_free(base);
 }
@@ -1802,7 +1878,7 @@
 	for (i = 0; i < COUNT(names); i++)
 		CU_ASSERT_PTR_EQUAL(kwb_index_get(&index, names[i]),
 		    i % 2 == 0 ? NULL : (void *)names[i]);
-	/* Names that come and go leave room for others. */
+	/* Removed keys free their space for others. */
 	for (i = 0; i < 20000; i++) {
 		kwb_index_put(&index, names[i % 1000 * 2], names[0]);
 		kwb_index_remove(&index, names[i % 1000 * 2]);
@@ -1815,8 +1891,8 @@
 test_base64(void)
 {
 	static const char *const bad[] = {"a", "a===", "====", "ab!d"};
-	struct kwb_buf text;
-	struct kwb_buf back;
+	struct kwb_buf encoded;
+	struct kwb_buf decoded;
 	unsigned char bytes[64];
 	size_t length;
 	unsigned i;
@@ -1824,22 +1900,23 @@
 	for (i = 0; i < sizeof(bytes); i++)
 		bytes[i] = (unsigned char)(i * 37);
 	for (length = 0; length <= sizeof(bytes); length++) {
-		kwb_buf_init(&text);
-		kwb_buf_init(&back);
-		kwb_base64_encode(&text, bytes, length);
-		CU_ASSERT_EQUAL(kwb_base64_decode(&back, kwb_buf_text(&text),
-				    text.used_bytes),
+		kwb_buf_init(&encoded);
+		kwb_buf_init(&decoded);
+		kwb_base64_encode(&encoded, bytes, length);
+		CU_ASSERT_EQUAL(kwb_base64_decode(&decoded,
+				    kwb_buf_text(&encoded), encoded.used_bytes),
 		    0);
-		CU_ASSERT_EQUAL(back.used_bytes, length);
-		CU_ASSERT_EQUAL(memcmp(kwb_buf_text(&back), bytes, length), 0);
-		kwb_buf_finish(&text);
-		kwb_buf_finish(&back);
+		CU_ASSERT_EQUAL(decoded.used_bytes, length);
+		CU_ASSERT_EQUAL(
+		    memcmp(kwb_buf_text(&decoded), bytes, length), 0);
+		kwb_buf_finish(&encoded);
+		kwb_buf_finish(&decoded);
 	}
 	for (i = 0; i < COUNT(bad); i++) {
-		kwb_buf_init(&back);
+		kwb_buf_init(&decoded);
 		CU_ASSERT_NOT_EQUAL(
-		    kwb_base64_decode(&back, bad[i], strlen(bad[i])), 0);
-		kwb_buf_finish(&back);
+		    kwb_base64_decode(&decoded, bad[i], strlen(bad[i])), 0);
+		kwb_buf_finish(&decoded);
 	}
 }
 
@@ -1849,26 +1926,38 @@
 	static const struct {
 		const char *name;
 		void (*run)(void);
-	} tests[] = {{"route", test_route}, {"parts", test_parts},
-	    {"path", test_path}, {"relay_accepts", test_relay_accepts},
-	    {"fleet", test_fleet}, {"usual_pace", test_usual_pace},
-	    {"pick", test_pick}, {"suspect", test_suspect},
-	    {"homes", test_homes}, {"load_wanted", test_load_wanted},
-	    {"loads_leave_homes", test_loads_leave_homes}, {"rank", test_rank},
-	    {"priority", test_priority},
-	    {"order_of_items", test_order_of_items}, {"move", test_move},
-	    {"silence", test_silence}, {"pieces", test_pieces},
-	    {"owner_silence", test_owner_silence}, {"claims", test_claims},
-	    {"owner_size", test_owner_size}, {"events", test_events},
-	    {"long_event", test_long_event}, {"queued", test_queued},
-	    {"again", test_again}, {"again_same_way", test_again_same_way},
-	    {"trace", test_trace}, {"paused_start", test_paused_start},
-	    {"rewards_leave_room", test_rewards_leave_room},
+	} tests[] = {{"route", test_route},
+	    {"prompt_prefixes", test_prompt_prefixes},
+	    {"store_path", test_store_path},
+	    {"relay_can_accept", test_relay_can_accept},
+	    {"node_count_estimate", test_node_count_estimate},
+	    {"median_pace", test_median_pace}, {"pick", test_pick},
+	    {"suspect", test_suspect},
+	    {"replica_assignment", test_replica_assignment},
+	    {"weight_load_urgency", test_weight_load_urgency},
+	    {"early_loads_keep_replicas_ready",
+		test_early_loads_keep_replicas_ready},
+	    {"item_rank", test_item_rank},
+	    {"item_priority", test_item_priority},
+	    {"item_order_makespan", test_item_order_makespan},
+	    {"item_move", test_item_move}, {"item_stall", test_item_stall},
+	    {"text_chunks", test_text_chunks},
+	    {"owner_expiry", test_owner_expiry},
+	    {"claim_delays", test_claim_delays},
+	    {"owner_is_kept", test_owner_is_kept},
+	    {"sse_events", test_sse_events},
+	    {"oversized_sse_event", test_oversized_sse_event},
+	    {"item_queued", test_item_queued},
+	    {"store_resend", test_store_resend},
+	    {"store_resend_same_path", test_store_resend_same_path},
+	    {"trace", test_trace},
+	    {"expired_deadline_at_start", test_expired_deadline_at_start},
+	    {"scores_leave_spare_slots", test_scores_leave_spare_slots},
 	    {"settings", test_settings},
 	    {"upstream_entries", test_upstream_entries},
 	    {"documents", test_documents},
 	    {"mutated_documents", test_mutated_documents},
-	    {"requests", test_requests}, {"index", test_index},
+	    {"request_parser", test_request_parser}, {"index", test_index},
 	    {"base64", test_base64}};
 	CU_pSuite suite;
 	unsigned failed;
