--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -1,12 +1,12 @@
 /*
- * Fault soak: real kwb-node processes before stand-ins of the platform, under
- * random faults from outside, while callers and trainers check what they were
- * promised. A seed decides the faults; times are real.
+ * Fault soak: real kwb-node processes with stand-ins for the platform's store
+ * and servers run under random faults, while callers and trainers check the
+ * node's guarantees. The seed decides the faults; time is real.
  *
- *   soak SEED [SEED ...]        plays these seeds
- *   soak --count N [FIRST]      N seeds from FIRST on
+ *   soak SEED [SEED ...]        runs these seeds
+ *   soak --count N [FIRST]      runs N seeds from FIRST on
  *
- * SOAK_KEEP=1 keeps the directory with settings and logs, and names it.
+ * SOAK_KEEP=1 keeps the directory with settings and logs, and prints its path.
  */
 #include <dirent.h>
 #include <fcntl.h>
@@ -22,95 +22,102 @@
 #include "stage.h"
 
 #define NODES 3
-#define PLAIN 2
-#define ENGINES 3
-#define SERVERS (PLAIN + ENGINES)
+#define SERVICE_SERVERS 2
+#define MODEL_SERVERS 3
+#define SERVERS (SERVICE_SERVERS + MODEL_SERVERS)
 #define CALLERS 6
 #define TRAINERS 2
 #define CALLS_MAX 4096
 #define BATCHES_MAX 64
-#define ITEMS 8
-#define EVENTS 12
-#define PLAY_MS 7000	/* with faults */
-#define SETTLE_MS 14000 /* after them, until everything accepted is whole */
+#define BATCH_ITEMS 8
+#define ITEM_EVENTS 12
+#define FAULTS_MS 7000	  /* duration of the phase with faults */
+#define RECOVERY_MS 14000 /* then at most until accepted batches are ended */
 #define GRACE_MS 8000
 #define LEASE_MS 3000
-#define NAME_MS 900 /* between versions that a trainer names */
+#define VERSION_PERIOD_MS 900 /* between published weight versions */
 
 struct node {
 	char name[16];
-	char path[160];
-	struct kwb_address front;
-	struct kwb_address ready;
-	struct kwb_address peers;
-	struct proxy proxy; /* to the store */
-	pid_t pid;	    /* 0 while it does not run */
-	bool stopped;	    /* SIGSTOP */
-	bool leaving;	    /* SIGTERM */
-	uint64_t kill_ns;   /* grace ends */
-	uint64_t start_ns;  /* started again then */
+	char settings_path[160];
+	struct kwb_address front_address; /* takes requests */
+	struct kwb_address ready_address; /* answers health checks */
+	struct kwb_address relay_address; /* takes connections of peers */
+	struct proxy proxy;		  /* to the store */
+	pid_t pid;			  /* 0 while it does not run */
+	bool is_paused;			  /* by SIGSTOP */
+	bool is_terminating;		  /* by SIGTERM */
+	uint64_t grace_until_ns;	  /* after SIGTERM; killed then */
+	uint64_t restart_due_ns;	  /* 0 for none */
 };
 
 struct call {
 	char id[24];
-	bool once; /* may run only once */
-	uint16_t status;
+	bool is_non_idempotent; /* must not run twice */
+	uint16_t status;	/* of the answer; 0 for none */
 };
 
 struct batch {
 	char id[24];
-	bool accepted;
-	bool in_doubt; /* an answer that promises nothing */
-	bool ended;
-	unsigned next;
-	char *results[ITEMS];
+	bool is_accepted;
+	bool may_be_accepted; /* a submission failed without a clear refusal */
+	bool is_ended;
+	unsigned next_position; /* results received so far */
+	char *results[BATCH_ITEMS];
 };
 
 struct soak;
 
-struct actor {
+/* A caller or a trainer; it has one request in flight at a time. */
+struct client {
 	struct soak *soak;
 	struct kwb_exchange exchange;
 	struct event *timer;
-	bool busy;
-	bool trainer;
-	struct call *call;
-	struct batch *batch;
-	struct node *node;
-	enum { ASK_SUBMIT, ASK_RESULTS, ASK_END } ask;
-	unsigned after;
+	bool is_busy; /* a request is in flight */
+	bool is_trainer;
+	struct call *call;   /* of a caller: the newest */
+	struct batch *batch; /* of a trainer: the open one, or NULL */
+	struct node *node;   /* to which the newest request went */
+	enum {
+		TRAINER_SUBMIT,
+		TRAINER_READ_RESULTS,
+		TRAINER_END_BATCH
+	} trainer_step;
+	unsigned after_position; /* from which results were asked for */
 };
 
 struct soak {
 	unsigned seed;
-	unsigned state;
+	unsigned random_state;
 	char directory[128];
 	struct stage stage;
 	struct node nodes[NODES];
 	struct proxy proxies[SERVERS];
-	struct actor actors[CALLERS + TRAINERS];
+	struct client clients[CALLERS + TRAINERS];
 	struct call calls[CALLS_MAX];
 	unsigned calls_count;
 	struct batch batches[BATCHES_MAX];
 	unsigned batches_count;
-	bool fenced; /* servers check fencing tokens */
-	unsigned version;
-	uint64_t name_ns; /* the next version is named then */
-	uint64_t fault_ns;
-	uint64_t end_ns;
-	bool calm;
-	unsigned failures;
-	unsigned faults;
+	bool is_fencing_enforced; /* servers check fencing tokens */
+	unsigned version;	  /* of the weights, newest published */
+	uint64_t next_version_ns; /* when the next one is published */
+	uint64_t next_fault_ns;	  /* when the next fault is injected */
+	uint64_t phase_until_ns;  /* end of the phase of faults or recovery */
+	bool is_recovering;	  /* no more faults, calls and new batches */
+	unsigned failures;	  /* broken guarantees */
+	unsigned faults;	  /* injected */
 };
 
+/* A random number from 0 to below - 1, from the seed's sequence. */
 static unsigned
-draw(struct soak *soak, unsigned below)
+random_below(struct soak *soak, unsigned below)
 {
-	return (unsigned)rand_r(&soak->state) % below;
+	return (unsigned)rand_r(&soak->random_state) % below;
 }
 
+/* Counts and prints a broken guarantee. */
 static void
-fail(struct soak *soak, const char *format, ...)
+report_failure(struct soak *soak, const char *format, ...)
 {
 	va_list args;
 
@@ -122,17 +129,16 @@
 	printf("\n");
 }
 
-/* ---- Nodes -----------------------------------------------------------------
- */
+/* ---- Nodes --------------------------------------------------------------- */
 
 static void
-node_settings(struct soak *soak, struct node *node)
+node_write_settings(struct soak *soak, struct node *node)
 {
 	FILE *file;
 
-	snprintf(node->path, sizeof(node->path), "%s/%s.conf", soak->directory,
-	    node->name);
-	file = fopen(node->path, "w");
+	snprintf(node->settings_path, sizeof(node->settings_path), "%s/%s.conf",
+	    soak->directory, node->name);
+	file = fopen(node->settings_path, "w");
 	if (file == NULL)
 		abort();
 	fprintf(file,
@@ -140,9 +146,10 @@
 	    "listen.ready=127.0.0.1:%u\nplatform.addr=127.0.0.1:%u\n"
 	    "bounds.grace-s=8\nbounds.fencing-enforced=%s\n"
 	    "bounds.lease-ms=%u\nip=127.0.0.1\nport-range=%u,%u\n",
-	    node->name, node->front.port, node->ready.port,
-	    node->proxy.address.port, soak->fenced ? "true" : "false", LEASE_MS,
-	    node->peers.port, node->peers.port);
+	    node->name, node->front_address.port, node->ready_address.port,
+	    node->proxy.address.port,
+	    soak->is_fencing_enforced ? "true" : "false", LEASE_MS,
+	    node->relay_address.port, node->relay_address.port);
 	fclose(file);
 }
 
@@ -166,13 +173,13 @@
 		dup2(fd, STDERR_FILENO);
 		for (fd = 3; fd < 1024; fd++)
 			close(fd);
-		setenv(PLATFORM_SETTINGS_VARIABLE, node->path, 1);
+		setenv(PLATFORM_SETTINGS_VARIABLE, node->settings_path, 1);
 		execl(program, program, (char *)NULL);
 		_exit(127);
 	}
-	node->stopped = false;
-	node->leaving = false;
-	node->start_ns = 0;
+	node->is_paused = false;
+	node->is_terminating = false;
+	node->restart_due_ns = 0;
 }
 
 static void
@@ -182,6 +189,7 @@
 		kill(node->pid, number);
 }
 
+/* Kills a node that runs and schedules its restart after down_ms. */
 static void
 node_kill(struct soak *soak, struct node *node, unsigned down_ms)
 {
@@ -190,13 +198,16 @@
 	node_signal(node, SIGKILL);
 	waitpid(node->pid, NULL, 0);
 	node->pid = 0;
-	node->start_ns = kwb_clock_now_ns() + down_ms * KWB_MS_NS;
+	node->restart_due_ns = kwb_clock_now_ns() + down_ms * KWB_MS_NS;
 	(void)soak;
 }
 
-/* Ended processes: by themselves only after SIGTERM, within the grace. */
+/*
+ * Starts nodes whose restart is due and checks those that run: a node may exit
+ * only after SIGTERM, and then must exit within its grace period.
+ */
 static void
-nodes_look(struct soak *soak)
+nodes_poll(struct soak *soak)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	struct node *node;
@@ -205,81 +216,85 @@
 
 	for (i = 0; i < NODES; i++) {
 		node = &soak->nodes[i];
-		if (node->pid == 0 && node->start_ns != 0 &&
-		    now_ns >= node->start_ns)
+		if (node->pid == 0 && node->restart_due_ns != 0 &&
+		    now_ns >= node->restart_due_ns)
 			node_start(soak, node);
 		if (node->pid <= 0)
 			continue;
 		if (waitpid(node->pid, &status, WNOHANG) == node->pid) {
-			if (!node->leaving)
-				fail(soak, "%s ended by itself, status %d",
+			if (!node->is_terminating)
+				report_failure(soak,
+				    "%s exited without SIGTERM, wait status %d",
 				    node->name, status);
 			node->pid = 0;
-			node->start_ns = now_ns + 200 * KWB_MS_NS;
-		} else if (node->leaving && now_ns >= node->kill_ns) {
-			if (!node->stopped)
-				fail(soak, "%s did not end in its grace",
+			node->restart_due_ns = now_ns + 200 * KWB_MS_NS;
+		} else if (node->is_terminating &&
+		    now_ns >= node->grace_until_ns) {
+			if (!node->is_paused)
+				report_failure(soak,
+				    "%s did not exit within its grace period",
 				    node->name);
 			node_kill(soak, node, 200);
 		}
 	}
 }
 
-/* ---- Callers and trainers
- * ----------------------------------------------------- */
+/* ---- Callers and trainers ------------------------------------------------ */
 
+/* Schedules the client's next request. */
 static void
-actor_wait(struct actor *actor, unsigned wait_ms)
+client_schedule(struct client *client, unsigned wait_ms)
 {
-	kwb_timer_arm(actor->timer, kwb_clock_now_ns() + wait_ms * KWB_MS_NS);
+	kwb_timer_arm(client->timer, kwb_clock_now_ns() + wait_ms * KWB_MS_NS);
 }
 
+/* Sends a request to a random node; retries soon if it cannot be sent. */
 static void
-actor_send(struct actor *actor, const char *method, const char *target,
+client_send(struct client *client, const char *method, const char *target,
     const char *id, const char *body)
 {
-	struct soak *soak = actor->soak;
+	struct soak *soak = client->soak;
 	struct evbuffer *out = evbuffer_new();
 
-	actor->node = &soak->nodes[draw(soak, NODES)];
+	client->node = &soak->nodes[random_below(soak, NODES)];
 	evbuffer_add_printf(out,
 	    "%s %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\n"
 	    "Deadline-Ms: 1500\r\nWait-Ms: 300\r\nContent-Length: %zu\r\n\r\n"
 	    "%s",
 	    method, target, id, strlen(body), body);
-	actor->busy = true;
-	actor->exchange.deadline_ns = kwb_clock_now_ns() + 2500 * KWB_MS_NS;
-	if (kwb_exchange_start(&actor->exchange, &soak->stage.client,
-		&actor->node->front, out) != 0) {
-		actor->busy = false;
-		actor_wait(actor, 50);
+	client->is_busy = true;
+	client->exchange.deadline_ns = kwb_clock_now_ns() + 2500 * KWB_MS_NS;
+	if (kwb_exchange_start(&client->exchange, &soak->stage.client,
+		&client->node->front_address, out) != 0) {
+		client->is_busy = false;
+		client_schedule(client, 50);
 	}
 	evbuffer_free(out);
 }
 
 static void
-call_next(struct actor *actor)
+caller_send(struct client *client)
 {
-	struct soak *soak = actor->soak;
+	struct soak *soak = client->soak;
 	struct call *call;
 	char body[48];
 
-	if (soak->calm || soak->calls_count == CALLS_MAX)
+	if (soak->is_recovering || soak->calls_count == CALLS_MAX)
 		return;
 	call = &soak->calls[soak->calls_count];
 	snprintf(call->id, sizeof(call->id), "c%u", soak->calls_count++);
-	call->once = draw(soak, 2) == 0;
-	actor->call = call;
+	call->is_non_idempotent = random_below(soak, 2) == 0;
+	client->call = call;
 	snprintf(body, sizeof(body), "body of %s", call->id);
-	actor_send(
-	    actor, "POST", call->once ? "/once/x" : "/web/x", call->id, body);
+	client_send(client, "POST",
+	    call->is_non_idempotent ? "/once/x" : "/web/x", call->id, body);
 }
 
 static void
-call_answered(struct actor *actor, int error)
+caller_on_answer(struct client *client, int error)
 {
-	struct kwb_message *answer = kwb_exchange_answer(&actor->exchange);
-	struct call *call = actor->call;
+	struct kwb_message *answer = kwb_exchange_answer(&client->exchange);
+	struct call *call = client->call;
 	char body[48];
 
 	call->status = error == 0 ? answer->status : 0;
@@ -287,12 +302,13 @@
 	if (call->status == 200 &&
 	    (strcmp(kwb_buf_text(&answer->body), body) != 0 ||
 		kwb_message_header(answer, "Server-Stamp") == NULL))
-		fail(actor->soak, "%s got the answer '%s'", call->id,
+		report_failure(client->soak,
+		    "%s got a wrong body or no receipt: '%s'", call->id,
 		    kwb_buf_text(&answer->body));
 	if (call->status == 404 || call->status == 400)
-		fail(actor->soak, "%s was denied with %u", call->id,
-		    call->status);
-	actor_wait(actor, 10 + draw(actor->soak, 60));
+		report_failure(client->soak, "%s was rejected with status %u",
+		    call->id, call->status);
+	client_schedule(client, 10 + random_below(client->soak, 60));
 }
 
 static char *
@@ -308,9 +324,9 @@
 	unsigned i;
 	char *out;
 
-	for (i = 0; i < ITEMS; i++) {
+	for (i = 0; i < BATCH_ITEMS; i++) {
 		kwb_buf_init(&body);
-		snprintf(text, sizeof(text), "events=%u", EVENTS);
+		snprintf(text, sizeof(text), "events=%u", ITEM_EVENTS);
 		snprintf(id, sizeof(id), "%s-i%u", batch->id, i);
 		snprintf(score, sizeof(score), "%s-s%u", batch->id, i);
 		snprintf(group, sizeof(group), "g%u", i / 2);
@@ -325,7 +341,7 @@
 		kwb_buf_finish(&body);
 	}
 	document = json_pack("{s:i, s:s, s:i, s:i, s:o}", "step", 0, "model",
-	    "m", "min-version", 1, "target-groups", ITEMS / 2, "requests",
+	    "m", "min-version", 1, "target-groups", BATCH_ITEMS / 2, "requests",
 	    requests);
 	out = json_dumps(document, JSON_COMPACT);
 	json_decref(document);
@@ -333,39 +349,40 @@
 }
 
 static void
-trainer_next(struct actor *actor)
+trainer_send(struct client *client)
 {
-	struct soak *soak = actor->soak;
-	struct batch *batch = actor->batch;
+	struct soak *soak = client->soak;
+	struct batch *batch = client->batch;
 	char target[96];
 	char *text;
 
 	if (batch == NULL) {
-		if (soak->calm || soak->batches_count == BATCHES_MAX)
+		if (soak->is_recovering || soak->batches_count == BATCHES_MAX)
 			return;
 		batch = &soak->batches[soak->batches_count];
 		snprintf(
 		    batch->id, sizeof(batch->id), "b%u", soak->batches_count++);
-		actor->batch = batch;
-		actor->ask = ASK_SUBMIT;
+		client->batch = batch;
+		client->trainer_step = TRAINER_SUBMIT;
 	}
-	switch (actor->ask) {
-	case ASK_SUBMIT:
+	switch (client->trainer_step) {
+	case TRAINER_SUBMIT:
 		text = batch_text(batch);
-		actor_send(actor, "POST", "/gen/x", batch->id, text);
+		client_send(client, "POST", "/gen/x", batch->id, text);
 		free(text);
 		return;
-	case ASK_RESULTS:
-		/* At times from an earlier position, which must not change. */
-		actor->after = draw(soak, 4) == 0 ? draw(soak, batch->next + 1)
-						  : batch->next;
+	case TRAINER_READ_RESULTS:
+		/* One in four reads earlier results, which must not change. */
+		client->after_position = random_below(soak, 4) == 0
+		    ? random_below(soak, batch->next_position + 1)
+		    : batch->next_position;
 		snprintf(target, sizeof(target), "/lots/%s?after=%u", batch->id,
-		    actor->after);
-		actor_send(actor, "GET", target, "", "");
+		    client->after_position);
+		client_send(client, "GET", target, "", "");
 		return;
-	case ASK_END:
+	case TRAINER_END_BATCH:
 		snprintf(target, sizeof(target), "/lots/%s", batch->id);
-		actor_send(actor, "DELETE", target, "", "");
+		client_send(client, "DELETE", target, "", "");
 		return;
 	}
 }
@@ -380,201 +397,211 @@
 	unsigned i;
 
 	kwb_buf_init(&text);
-	for (i = 1; i <= EVENTS; i++)
+	for (i = 1; i <= ITEM_EVENTS; i++)
 		kwb_buf_printf(&text, "%sword%u", i > 1 ? "\n" : "", i);
 	if (strcmp(state, "completed") != 0)
-		fail(soak, "%s: an item was given up", batch->id);
+		report_failure(soak, "%s: an item is not completed", batch->id);
 	else if (strcmp(output, text.data) != 0 ||
 	    json_object_get(result, "score") == NULL ||
 	    json_array_size(json_object_get(result, "versions")) == 0)
-		fail(
-		    soak, "%s: a result is not whole: '%s'", batch->id, output);
+		report_failure(soak, "%s: a result is incomplete: '%s'",
+		    batch->id, output);
 	kwb_buf_finish(&text);
 }
 
+/* Checks a page of results and keeps those that are new. */
 static void
-take_results(struct actor *actor, const struct kwb_message *answer)
+collect_results(struct client *client, const struct kwb_message *answer)
 {
-	struct soak *soak = actor->soak;
-	struct batch *batch = actor->batch;
+	struct soak *soak = client->soak;
+	struct batch *batch = client->batch;
 	json_t *document = json_loads(kwb_buf_text(&answer->body), 0, NULL);
 	const json_t *result;
-	unsigned position = actor->after;
+	unsigned position = client->after_position;
 	size_t i;
 	char *text;
 	unsigned k;
 
 	json_array_foreach (json_object_get(document, "results"), i, result) {
-		if (position >= ITEMS) {
-			fail(soak, "%s: more results than items", batch->id);
+		if (position >= BATCH_ITEMS) {
+			report_failure(
+			    soak, "%s: more results than items", batch->id);
 			break;
 		}
 		text = json_dumps(result, JSON_COMPACT | JSON_SORT_KEYS);
 		if (batch->results[position] == NULL) {
-			for (k = 0; k < ITEMS; k++)
+			for (k = 0; k < BATCH_ITEMS; k++)
 				if (batch->results[k] != NULL &&
 				    strcmp(batch->results[k], text) == 0)
-					fail(soak, "%s: an item twice",
+					report_failure(soak,
+					    "%s: a result was listed twice",
 					    batch->id);
 			check_result(soak, batch, result);
 			batch->results[position] = text;
 		} else {
 			if (strcmp(batch->results[position], text) != 0)
-				fail(soak, "%s: position %u has changed",
+				report_failure(soak,
+				    "%s: the result at %u has changed",
 				    batch->id, position);
 			free(text);
 		}
 		position++;
 	}
 	json_decref(document);
-	if (position > batch->next)
-		batch->next = position;
+	if (position > batch->next_position)
+		batch->next_position = position;
 }
 
 static void
-trainer_answered(struct actor *actor, int error)
+trainer_on_answer(struct client *client, int error)
 {
-	struct kwb_message *answer = kwb_exchange_answer(&actor->exchange);
-	struct batch *batch = actor->batch;
+	struct kwb_message *answer = kwb_exchange_answer(&client->exchange);
+	struct batch *batch = client->batch;
 	uint16_t status = error == 0 ? answer->status : 0;
 
-	if (actor->ask == ASK_SUBMIT) {
-		batch->accepted |= status == 202;
-		batch->in_doubt |= status != 202 && status != 503;
+	if (client->trainer_step == TRAINER_SUBMIT) {
+		batch->is_accepted |= status == 202;
+		batch->may_be_accepted |= status != 202 && status != 503;
 		if (status == 202)
-			actor->ask = ASK_RESULTS;
+			client->trainer_step = TRAINER_READ_RESULTS;
 	} else if (status == 404) {
-		fail(actor->soak, "%s: accepted, and not known at %s",
-		    batch->id, actor->node->name);
-	} else if (actor->ask == ASK_RESULTS && status == 200) {
-		take_results(actor, answer);
-		if (batch->next == ITEMS)
-			actor->ask = ASK_END;
-	} else if (actor->ask == ASK_END && status == 200) {
-		batch->ended = true;
-		actor->batch = NULL;
+		report_failure(client->soak, "%s: accepted, but unknown to %s",
+		    batch->id, client->node->name);
+	} else if (client->trainer_step == TRAINER_READ_RESULTS &&
+	    status == 200) {
+		collect_results(client, answer);
+		if (batch->next_position == BATCH_ITEMS)
+			client->trainer_step = TRAINER_END_BATCH;
+	} else if (client->trainer_step == TRAINER_END_BATCH && status == 200) {
+		batch->is_ended = true;
+		client->batch = NULL;
 	}
-	actor_wait(actor, 20 + draw(actor->soak, 120));
+	client_schedule(client, 20 + random_below(client->soak, 120));
 }
 
 static void
-actor_done(struct kwb_exchange *exchange, int error)
+client_on_done(struct kwb_exchange *exchange, int error)
 {
-	struct actor *actor = exchange->context;
+	struct client *client = exchange->context;
 
-	actor->busy = false;
-	if (actor->trainer)
-		trainer_answered(actor, error);
+	client->is_busy = false;
+	if (client->is_trainer)
+		trainer_on_answer(client, error);
 	else
-		call_answered(actor, error);
+		caller_on_answer(client, error);
 	kwb_exchange_finish(exchange);
 }
 
-static const struct kwb_exchange_ops actor_ops = {
-    .on_done = actor_done,
+static const struct kwb_exchange_ops client_ops = {
+    .on_done = client_on_done,
 };
 
 static void
-actor_time(int fd, short what, void *context)
+client_on_timer(int fd, short what, void *context)
 {
-	struct actor *actor = context;
+	struct client *client = context;
 
 	(void)fd;
 	(void)what;
-	if (actor->busy)
+	if (client->is_busy)
 		return;
-	memset(&actor->exchange, 0, sizeof(actor->exchange));
-	actor->exchange.ops = &actor_ops;
-	actor->exchange.context = actor;
-	if (actor->trainer)
-		trainer_next(actor);
+	memset(&client->exchange, 0, sizeof(client->exchange));
+	client->exchange.ops = &client_ops;
+	client->exchange.context = client;
+	if (client->is_trainer)
+		trainer_send(client);
 	else
-		call_next(actor);
+		caller_send(client);
 }
 
-/* ---- Faults
- * ----------------------------------------------------------------------- */
+/* ---- Faults -------------------------------------------------------------- */
 
 static void
-fault_process(struct soak *soak)
+inject_process_fault(struct soak *soak)
 {
-	struct node *node = &soak->nodes[draw(soak, NODES)];
-	unsigned kind = draw(soak, 5);
+	struct node *node = &soak->nodes[random_below(soak, NODES)];
+	unsigned kind = random_below(soak, 5);
 	unsigned i;
 
 	switch (kind) {
 	case 0:
-		node_kill(soak, node, draw(soak, 1500));
+		node_kill(soak, node, random_below(soak, 1500));
 		break;
 	case 1:
-		if (node->pid > 0 && !node->leaving) {
+		if (node->pid > 0 && !node->is_terminating) {
 			node_signal(node, SIGTERM);
-			node->leaving = true;
-			node->kill_ns =
+			node->is_terminating = true;
+			node->grace_until_ns =
 			    kwb_clock_now_ns() + GRACE_MS * KWB_MS_NS;
 		}
 		break;
 	case 2:
 		node_signal(node, SIGSTOP);
-		node->stopped = true;
+		node->is_paused = true;
 		break;
 	case 3:
 		node_signal(node, SIGHUP);
 		break;
 	default:
-		for (i = 0; i < NODES; i++) /* all at once */
-			if (draw(soak, 3) > 0)
+		/* Kills several at once. */
+		for (i = 0; i < NODES; i++)
+			if (random_below(soak, 3) > 0)
 				node_kill(soak, &soak->nodes[i], 300);
 	}
 }
 
 static void
-fault_network(struct soak *soak)
+inject_network_fault(struct soak *soak)
 {
-	enum proxy_mode mode = (enum proxy_mode)draw(soak, PROXY_MODES);
+	enum proxy_mode mode = (enum proxy_mode)random_below(soak, PROXY_MODES);
 
-	if (draw(soak, 2) == 0)
-		proxy_set(&soak->nodes[draw(soak, NODES)].proxy, mode);
+	if (random_below(soak, 2) == 0)
+		proxy_set(&soak->nodes[random_below(soak, NODES)].proxy, mode);
 	else
-		proxy_set(&soak->proxies[draw(soak, SERVERS)], mode);
+		proxy_set(&soak->proxies[random_below(soak, SERVERS)], mode);
 }
 
 static void
-fault_server(struct soak *soak)
+inject_server_fault(struct soak *soak)
 {
 	static const enum server_fault faults[] = {SERVER_REFUSE, SERVER_RESET,
 	    SERVER_SILENT, SERVER_OTHER_ID, SERVER_CUT, SERVER_EXTRA,
 	    SERVER_GARBAGE, SERVER_NO_RECEIPT, SERVER_MISDIRECTED};
-	struct stage_server *server = &soak->stage.servers[draw(soak, SERVERS)];
+	struct stage_server *server =
+	    &soak->stage.servers[random_below(soak, SERVERS)];
 
-	server->fault = faults[draw(soak, 9)];
+	server->fault = faults[random_below(soak, 9)];
+	/* Model servers get only these two faults or a cut stream. */
 	if (server->engine && server->fault != SERVER_REFUSE &&
 	    server->fault != SERVER_MISDIRECTED)
 		server->fault = SERVER_CUT;
-	server->fault_left = 1 + draw(soak, 6);
+	server->fault_left = 1 + random_below(soak, 6);
 }
 
 static void
-fault_store(struct soak *soak)
-{
-	soak->stage.store.fault = (enum store_fault)draw(soak, STORE_LATE + 1);
-	soak->stage.store.fault_left =
-	    soak->stage.store.fault >= STORE_LOST ? 1 + draw(soak, 4) : 0;
-	if (draw(soak, 4) == 0)
+inject_store_fault(struct soak *soak)
+{
+	soak->stage.store.fault =
+	    (enum store_fault)random_below(soak, STORE_LATE + 1);
+	soak->stage.store.fault_left = soak->stage.store.fault >= STORE_LOST
+	    ? 1 + random_below(soak, 4)
+	    : 0;
+	/* Feeds from earlier revisions then get status 410. */
+	if (random_below(soak, 4) == 0)
 		soak->stage.store.history_from = soak->stage.store.revision;
 }
 
 static void
-heal(struct soak *soak)
+clear_faults(struct soak *soak)
 {
 	unsigned i;
 
 	soak->stage.store.fault = STORE_OK;
 	for (i = 0; i < NODES; i++) {
 		proxy_set(&soak->nodes[i].proxy, PROXY_PASS);
-		if (soak->nodes[i].stopped)
+		if (soak->nodes[i].is_paused)
 			node_signal(&soak->nodes[i], SIGCONT);
-		soak->nodes[i].stopped = false;
+		soak->nodes[i].is_paused = false;
 	}
 	for (i = 0; i < SERVERS; i++) {
 		proxy_set(&soak->proxies[i], PROXY_PASS);
@@ -583,34 +610,33 @@
 }
 
 static void
-fault_next(struct soak *soak)
+inject_fault(struct soak *soak)
 {
 	soak->faults++;
-	if (draw(soak, 3) == 0)
-		heal(soak); /* faults come in series, and overlap */
-	switch (draw(soak, 4)) {
+	if (random_below(soak, 3) == 0)
+		clear_faults(soak); /* faults overlap until then */
+	switch (random_below(soak, 4)) {
 	case 0:
-		fault_process(soak);
+		inject_process_fault(soak);
 		break;
 	case 1:
-		fault_network(soak);
+		inject_network_fault(soak);
 		break;
 	case 2:
-		fault_server(soak);
+		inject_server_fault(soak);
 		break;
 	default:
-		fault_store(soak);
+		inject_store_fault(soak);
 	}
-	soak->fault_ns =
-	    kwb_clock_now_ns() + (100 + draw(soak, 700)) * KWB_MS_NS;
+	soak->next_fault_ns =
+	    kwb_clock_now_ns() + (100 + random_below(soak, 700)) * KWB_MS_NS;
 }
 
-/* ---- Play
- * ---------------------------------------------------------------------------
- */
+/* ---- Checks and the run of a seed ---------------------------------------- */
 
+/* How often the servers have run the request with this id. */
 static unsigned
-runs_of(const struct soak *soak, const char *id)
+count_runs(const struct soak *soak, const char *id)
 {
 	unsigned count = 0;
 	unsigned i;
@@ -629,11 +655,14 @@
 
 	for (i = 0; i < soak->calls_count; i++) {
 		call = &soak->calls[i];
-		runs = runs_of(soak, call->id);
-		if (call->once && runs > 1)
-			fail(soak, "%s ran %u times", call->id, runs);
-		if (call->once && call->status == 503 && runs > 0)
-			fail(soak, "%s was refused and ran", call->id);
+		runs = count_runs(soak, call->id);
+		if (call->is_non_idempotent && runs > 1)
+			report_failure(soak,
+			    "%s is not idempotent, but ran %u times", call->id,
+			    runs);
+		if (call->is_non_idempotent && call->status == 503 && runs > 0)
+			report_failure(
+			    soak, "%s was refused with 503, but ran", call->id);
 	}
 }
 
@@ -641,102 +670,112 @@
 check_batches(struct soak *soak)
 {
 	const struct batch *batch;
-	char item[48];
+	char item_id[48];
 	unsigned i;
 
 	for (i = 0; i < soak->batches_count; i++) {
 		batch = &soak->batches[i];
-		snprintf(item, sizeof(item), "%s-i0", batch->id);
-		if (batch->accepted && !batch->ended && batch->next < ITEMS)
-			fail(soak, "%s: accepted, %u of %u listed at the end",
-			    batch->id, batch->next, ITEMS);
-		if (!batch->accepted && !batch->in_doubt &&
-		    runs_of(soak, item) > 0)
-			fail(soak, "%s: always refused, and runs", batch->id);
+		snprintf(item_id, sizeof(item_id), "%s-i0", batch->id);
+		if (batch->is_accepted && !batch->is_ended &&
+		    batch->next_position < BATCH_ITEMS)
+			report_failure(soak,
+			    "%s: accepted, but %u of %u results listed",
+			    batch->id, batch->next_position, BATCH_ITEMS);
+		if (!batch->is_accepted && !batch->may_be_accepted &&
+		    count_runs(soak, item_id) > 0)
+			report_failure(soak,
+			    "%s: always refused, but its items ran", batch->id);
 	}
 }
 
-/* A submission that is not answered when the play ends promises nothing. */
+/* A submission still in flight at the end may have been accepted. */
 static void
-note_unanswered(struct soak *soak)
+mark_unanswered_submissions(struct soak *soak)
 {
 	unsigned i;
 
 	for (i = 0; i < CALLERS + TRAINERS; i++)
-		if (soak->actors[i].trainer && soak->actors[i].busy &&
-		    soak->actors[i].ask == ASK_SUBMIT)
-			soak->actors[i].batch->in_doubt = true;
+		if (soak->clients[i].is_trainer && soak->clients[i].is_busy &&
+		    soak->clients[i].trainer_step == TRAINER_SUBMIT)
+			soak->clients[i].batch->may_be_accepted = true;
 }
 
 /*
- * One holder gives orders: no two with one token, and where servers don't
- * check tokens, none with a lower one than before and none within a lease of
- * another holder's.
+ * Only one lease holder at a time may send weight orders: two holders must not
+ * use the same fencing token. Where servers don't check tokens, a server must
+ * also see no token lower than an earlier one, and no order of a holder within
+ * a lease period of another holder's.
  */
 static void
-check_order(struct soak *soak, unsigned at)
+check_weight_order(struct soak *soak, unsigned index)
 {
-	const struct stage_order *order = &soak->stage.orders[at];
-	const struct stage_order *before;
+	const struct stage_order *order = &soak->stage.orders[index];
+	const struct stage_order *earlier;
 	unsigned i;
 
-	for (i = 0; i < at; i++) {
-		before = &soak->stage.orders[i];
-		if (before->fence == order->fence &&
-		    strcmp(before->holder, order->holder) != 0)
-			fail(soak, "%s and %s order with token %llu",
-			    before->holder, order->holder,
+	for (i = 0; i < index; i++) {
+		earlier = &soak->stage.orders[i];
+		if (earlier->fence == order->fence &&
+		    strcmp(earlier->holder, order->holder) != 0)
+			report_failure(soak,
+			    "%s and %s sent orders with token %llu",
+			    earlier->holder, order->holder,
 			    (unsigned long long)order->fence);
-		if (soak->fenced || before->server != order->server)
+		if (soak->is_fencing_enforced ||
+		    earlier->server != order->server)
 			continue;
-		if (before->fence > order->fence)
-			fail(soak, "%s: token %llu after %llu", order->holder,
-			    (unsigned long long)order->fence,
-			    (unsigned long long)before->fence);
-		if (strcmp(before->holder, order->holder) != 0 &&
-		    order->at_ns - before->at_ns < LEASE_MS * KWB_MS_NS)
-			fail(soak, "%s orders %llu ms after %s", order->holder,
+		if (earlier->fence > order->fence)
+			report_failure(soak,
+			    "%s sent an order with token %llu after %llu",
+			    order->holder, (unsigned long long)order->fence,
+			    (unsigned long long)earlier->fence);
+		if (strcmp(earlier->holder, order->holder) != 0 &&
+		    order->at_ns - earlier->at_ns < LEASE_MS * KWB_MS_NS)
+			report_failure(soak,
+			    "%s sent an order %llu ms after %s", order->holder,
 			    (unsigned long long)((order->at_ns -
-						     before->at_ns) /
+						     earlier->at_ns) /
 				KWB_MS_NS),
-			    before->holder);
+			    earlier->holder);
 	}
 }
 
 static void
-check_orders(struct soak *soak)
+check_weight_orders(struct soak *soak)
 {
 	unsigned i;
 
 	for (i = 0; i < soak->stage.orders_count; i++)
-		check_order(soak, i);
+		check_weight_order(soak, i);
 }
 
-/* As a trainer does after each step. */
+/* Publishes the next weight version, as a trainer does after a step. */
 static void
-version_next(struct soak *soak)
+publish_version(struct soak *soak)
 {
 	char text[64];
 
 	snprintf(text, sizeof(text), "{\"model\":\"m\",\"version\":%u}",
 	    ++soak->version);
 	stage_store_put(&soak->stage.store, "op", "version/m", text);
-	soak->name_ns = kwb_clock_now_ns() + NAME_MS * KWB_MS_NS;
+	soak->next_version_ns =
+	    kwb_clock_now_ns() + VERSION_PERIOD_MS * KWB_MS_NS;
 }
 
+/* Whether the trainers have ended all accepted batches. */
 static bool
 is_settled(const struct soak *soak)
 {
 	unsigned i;
 
 	for (i = 0; i < soak->batches_count; i++)
-		if (soak->batches[i].accepted && !soak->batches[i].ended)
+		if (soak->batches[i].is_accepted && !soak->batches[i].is_ended)
 			return false;
 	return true;
 }
 
 static void
-soak_begin(struct soak *soak)
+soak_start(struct soak *soak)
 {
 	static const char config[] =
 	    "{\"version\":1,\"route-table\":["
@@ -759,12 +798,12 @@
 	for (i = 0; i < SERVERS; i++) {
 		snprintf(name, sizeof(name), "s%u", i);
 		server = stage_server(&soak->stage, name);
-		server->engine = i >= PLAIN;
+		server->engine = i >= SERVICE_SERVERS;
 		server->slots = 4;
 		server->pace_ms = 25;
 		server->load_ms = 300;
 		server->version = 1;
-		server->ignores_fences = !soak->fenced;
+		server->ignores_fences = !soak->is_fencing_enforced;
 		kwb_text_copy(server->service, sizeof(server->service),
 		    server->engine ? "engine" : "shop");
 		server_open(server, &soak->stage);
@@ -779,24 +818,24 @@
 		struct node *node = &soak->nodes[i];
 
 		snprintf(node->name, sizeof(node->name), "n%u", i);
-		stage_free_address(&node->front);
-		stage_free_address(&node->ready);
-		stage_free_address(&node->peers);
+		stage_free_address(&node->front_address);
+		stage_free_address(&node->ready_address);
+		stage_free_address(&node->relay_address);
 		if (proxy_open(&node->proxy, soak->stage.base,
 			&soak->stage.store.port.address) != 0)
 			abort();
-		node_settings(soak, node);
+		node_write_settings(soak, node);
 		node_start(soak, node);
 	}
 	stage_wait(&soak->stage, 400);
 	for (i = 0; i < CALLERS + TRAINERS; i++) {
-		struct actor *actor = &soak->actors[i];
+		struct client *client = &soak->clients[i];
 
-		actor->soak = soak;
-		actor->trainer = i >= CALLERS;
-		actor->timer =
-		    kwb_timer_new(soak->stage.base, actor_time, actor);
-		actor_wait(actor, i * 10);
+		client->soak = soak;
+		client->is_trainer = i >= CALLERS;
+		client->timer =
+		    kwb_timer_new(soak->stage.base, client_on_timer, client);
+		client_schedule(client, i * 10);
 	}
 }
 
@@ -808,8 +847,8 @@
 	unsigned k;
 
 	for (i = 0; i < CALLERS + TRAINERS; i++) {
-		kwb_exchange_finish(&soak->actors[i].exchange);
-		event_free(soak->actors[i].timer);
+		kwb_exchange_finish(&soak->clients[i].exchange);
+		event_free(soak->clients[i].timer);
 	}
 	for (i = 0; i < NODES; i++) {
 		node_kill(soak, &soak->nodes[i], 0);
@@ -818,7 +857,7 @@
 	for (i = 0; i < SERVERS; i++)
 		proxy_close(&soak->proxies[i]);
 	for (i = 0; i < soak->batches_count; i++)
-		for (k = 0; k < ITEMS; k++)
+		for (k = 0; k < BATCH_ITEMS; k++)
 			free(soak->batches[i].results[k]);
 	stage_finish(&soak->stage);
 	if (getenv("SOAK_KEEP") != NULL || soak->failures > 0) {
@@ -827,53 +866,54 @@
 	}
 	snprintf(command, sizeof(command), "rm -rf %s", soak->directory);
 	if (system(command) != 0)
-		printf("seed %u: %s stays\n", soak->seed, soak->directory);
+		printf(
+		    "seed %u: cannot remove %s\n", soak->seed, soak->directory);
 }
 
 static unsigned
-soak_play(unsigned seed)
+soak_run(unsigned seed)
 {
 	static struct soak soak;
-	unsigned finished = 0;
+	unsigned ended_count = 0;
 	unsigned i;
 
 	memset(&soak, 0, sizeof(soak));
 	soak.seed = seed;
-	soak.state = seed;
-	soak.fenced = seed % 2 == 0;
+	soak.random_state = seed;
+	soak.is_fencing_enforced = seed % 2 == 0;
 	soak.version = 1;
 	snprintf(
 	    soak.directory, sizeof(soak.directory), "/tmp/kwb-soak-XXXXXX");
 	if (mkdtemp(soak.directory) == NULL)
 		abort();
-	soak_begin(&soak);
-	soak.end_ns = kwb_clock_now_ns() + PLAY_MS * KWB_MS_NS;
-	soak.fault_ns = kwb_clock_now_ns() + 500 * KWB_MS_NS;
-	while (kwb_clock_now_ns() < soak.end_ns) {
+	soak_start(&soak);
+	soak.phase_until_ns = kwb_clock_now_ns() + FAULTS_MS * KWB_MS_NS;
+	soak.next_fault_ns = kwb_clock_now_ns() + 500 * KWB_MS_NS;
+	while (kwb_clock_now_ns() < soak.phase_until_ns) {
 		stage_wait(&soak.stage, 5);
-		nodes_look(&soak);
-		if (kwb_clock_now_ns() >= soak.fault_ns)
-			fault_next(&soak);
-		if (kwb_clock_now_ns() >= soak.name_ns)
-			version_next(&soak);
+		nodes_poll(&soak);
+		if (kwb_clock_now_ns() >= soak.next_fault_ns)
+			inject_fault(&soak);
+		if (kwb_clock_now_ns() >= soak.next_version_ns)
+			publish_version(&soak);
 	}
-	heal(&soak);
-	soak.calm = true;
-	soak.end_ns = kwb_clock_now_ns() + SETTLE_MS * KWB_MS_NS;
-	while (kwb_clock_now_ns() < soak.end_ns && !is_settled(&soak)) {
+	clear_faults(&soak);
+	soak.is_recovering = true;
+	soak.phase_until_ns = kwb_clock_now_ns() + RECOVERY_MS * KWB_MS_NS;
+	while (kwb_clock_now_ns() < soak.phase_until_ns && !is_settled(&soak)) {
 		stage_wait(&soak.stage, 5);
-		nodes_look(&soak);
+		nodes_poll(&soak);
 	}
 	check_calls(&soak);
-	note_unanswered(&soak);
+	mark_unanswered_submissions(&soak);
 	check_batches(&soak);
-	check_orders(&soak);
+	check_weight_orders(&soak);
 	for (i = 0; i < soak.batches_count; i++)
-		finished += soak.batches[i].ended;
-	printf("%s soak %u   faults=%u calls=%u batches=%u whole=%u "
+		ended_count += soak.batches[i].is_ended;
+	printf("%s soak %u   faults=%u calls=%u batches=%u ended=%u "
 	       "orders=%u\n",
 	    soak.failures == 0 ? "ok" : "FAILED", seed, soak.faults,
-	    soak.calls_count, soak.batches_count, finished,
+	    soak.calls_count, soak.batches_count, ended_count,
 	    soak.stage.orders_count);
 	fflush(stdout);
 	soak_finish(&soak);
@@ -896,10 +936,10 @@
 		first = argc > 3 ? (unsigned)atoi(argv[3]) : 1;
 	}
 	for (; count > 0; count--, first++)
-		*(soak_play(first) == 0 ? &passed : &failed) += 1;
+		*(soak_run(first) == 0 ? &passed : &failed) += 1;
 	for (i = 1; i < argc && strcmp(argv[1], "--count") != 0; i++)
-		*(soak_play((unsigned)atoi(argv[i])) == 0 ? &passed
-							  : &failed) += 1;
+		*(soak_run((unsigned)atoi(argv[i])) == 0 ? &passed : &failed) +=
+		    1;
 	printf("%u passed, %u failed\n", passed, failed);
 	return failed == 0 ? 0 : 1;
 }
