--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -665,10 +665,12 @@
 
 struct load_sim {
 	uint64_t version[LOAD_SIM_MODELS * LOAD_SIM_REPLICAS];
+	/* End of the newest weight load; past or 0 if none runs. */
 	unsigned load_end_tick[LOAD_SIM_MODELS * LOAD_SIM_REPLICAS];
-	unsigned loading;	  /* loads under way, of all models */
-	unsigned ready_sum;	  /* replicas that serve, summed over ... */
-	unsigned placement_ticks; /* ... so many ticks of placement */
+	unsigned loading; /* loads under way, of all models */
+	/* Replicas that serve, summed over placement_ticks samples. */
+	unsigned ready_sum;
+	unsigned placement_ticks;
 };
 
 /* Starts the weight loads of one model that are due in this tick. */
