--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -1,7 +1,8 @@
 /*
  * Fault soak: real kwb-node processes with stand-ins for the platform's store
  * and servers run under random faults, while callers and trainers check the
- * node's guarantees. The seed decides the faults; time is real.
+ * node's guarantees. The seed starts the random sequence from which faults and
+ * requests are drawn; time is real, so two runs of a seed may differ.
  *
  *   soak SEED [SEED ...]        runs these seeds
  *   soak --count N [FIRST]      runs N seeds from FIRST on
@@ -684,7 +685,8 @@
 		if (!batch->is_accepted && !batch->may_be_accepted &&
 		    count_runs(soak, item_id) > 0)
 			report_failure(soak,
-			    "%s: always refused, but its items ran", batch->id);
+			    "%s: always refused, but its first item ran",
+			    batch->id);
 	}
 }
 
