--- a/fakes/trainer.c
+++ b/fakes/trainer.c
@@ -68,7 +68,7 @@
 		request.body = body;
 		request.body_bytes = strlen(body);
 		request.timeout_ms =
-		    (uint32_t)kwb_clock_left_ms(trainer->deadline_ns) + 1;
+		    (uint32_t)kwb_clock_remaining_ms(trainer->deadline_ns) + 1;
 		if (trainer->resend_ms > 0 &&
 		    request.timeout_ms > trainer->resend_ms)
 			request.timeout_ms = trainer->resend_ms;
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -29,27 +29,27 @@
 	KWB_ERR_WIRE_FRAME = -100,
 	KWB_ERR_WIRE_SIZE = -101,
 	KWB_ERR_WIRE_CLOSED = -102,
-	KWB_ERR_NET_CONNECT = -120,    /* no connection: nothing was sent */
-	KWB_ERR_NET_STALE = -121,      /* a kept connection was closed */
-	KWB_ERR_NET_CLOSED = -122,     /* the peer closed before the end */
-	KWB_ERR_NET_RESET = -123,      /* the peer reset the connection */
-	KWB_ERR_NET_TIMEOUT = -124,    /* no answer in time, or silence */
-	KWB_ERR_NET_MALFORMED = -125,  /* not HTTP */
-	KWB_ERR_NET_HEAD_SIZE = -126,  /* head over its limit */
-	KWB_ERR_NET_BODY_SIZE = -127,  /* body over its limit */
-	KWB_ERR_STORE_CONFLICT = -150, /* a condition did not hold */
-	KWB_ERR_STORE_REFUSED = -151,  /* nothing was done */
-	KWB_ERR_STORE_UNKNOWN = -152,  /* no answer: may be done, or later */
-	KWB_ERR_STORE_HISTORY = -153,  /* the feed's history is gone */
-	KWB_ERR_STORE_MISSING = -154,  /* no such object */
-	KWB_ERR_STORE_VALUE = -155,    /* a row that can't be read */
-	KWB_ERR_PLATFORM_DOWN = -200,
+	KWB_ERR_NET_CONNECT = -120,	/* no connection: nothing was sent */
+	KWB_ERR_NET_STALE = -121,	/* a kept connection was closed */
+	KWB_ERR_NET_CLOSED = -122,	/* the peer closed before the end */
+	KWB_ERR_NET_RESET = -123,	/* the peer reset the connection */
+	KWB_ERR_NET_TIMEOUT = -124,	/* no answer in time, or silence */
+	KWB_ERR_NET_MALFORMED = -125,	/* not HTTP */
+	KWB_ERR_NET_HEAD_SIZE = -126,	/* head over its limit */
+	KWB_ERR_NET_BODY_SIZE = -127,	/* body over its limit */
+	KWB_ERR_STORE_CONFLICT = -150,	/* a condition did not hold */
+	KWB_ERR_STORE_REFUSED = -151,	/* nothing was done */
+	KWB_ERR_STORE_NO_ANSWER = -152, /* no answer: may be done, or later */
+	KWB_ERR_STORE_HISTORY_GONE = -153, /* the feed's history is gone */
+	KWB_ERR_STORE_MISSING = -154,	   /* no such object */
+	KWB_ERR_STORE_UNREADABLE = -155,   /* a row that can't be read */
+	KWB_ERR_PLATFORM_UNREACHABLE = -200,
 	KWB_ERR_PLATFORM_CONFLICT = -201,
 	KWB_ERR_PLATFORM_MISSING = -202,
 	KWB_ERR_LISTS_INVALID = -300,
 	KWB_ERR_LISTS_CONFLICT = -301,
 	KWB_ERR_LISTS_NONE = -302,
-	KWB_ERR_ROUTE_NONE = -400,
+	KWB_ERR_ROUTE_NO_UPSTREAM = -400,
 	KWB_ERR_ROUTE_FULL = -401,
 	KWB_ERR_CALL_BUSY = -500,
 	KWB_ERR_CALL_LEAVING = -501,
@@ -59,10 +59,10 @@
 	KWB_ERR_CALL_BARRED = -505,
 	KWB_ERR_CALL_DEADLINE = -506,
 	KWB_ERR_CALL_UPSTREAM = -507,
-	KWB_ERR_CALL_VERSION = -508,
+	KWB_ERR_CALL_OLD_WEIGHTS = -508,
 	KWB_ERR_CALL_CANCELLED = -509,
 	KWB_ERR_CALL_FORGOTTEN = -510,
-	KWB_ERR_WEIGHTS_UNKNOWN = -600,
+	KWB_ERR_WEIGHTS_FENCE_UNKNOWN = -600,
 	KWB_ERR_WEIGHTS_SWAP = -601
 };
 
@@ -78,9 +78,10 @@
 
 uint64_t kwb_clock_now_ns(void);  /* monotonic time */
 uint64_t kwb_clock_wall_ms(void); /* wall-clock time since the epoch */
-uint64_t kwb_clock_left_ms(uint64_t deadline_ns); /* time left, 0 if past */
-void kwb_clock_sleep_ns(uint64_t length_ns);	  /* sleep this thread */
-void kwb_cond_init(pthread_cond_t *cond); /* condition on monotonic time */
+uint64_t kwb_clock_remaining_ms(
+    uint64_t deadline_ns);		     /* time left, 0 if past */
+void kwb_clock_sleep_ns(uint64_t length_ns); /* sleep this thread */
+void kwb_cond_init(pthread_cond_t *cond);    /* condition on monotonic time */
 void kwb_cond_wait_until(pthread_cond_t *cond, pthread_mutex_t *lock,
     uint64_t deadline_ns); /* wait for a signal or the deadline */
 
@@ -89,18 +90,20 @@
 enum kwb_log_level { KWB_LOG_DEBUG, KWB_LOG_INFO, KWB_LOG_WARN, KWB_LOG_ERROR };
 
 void kwb_log_init(const char *process,
-    enum kwb_log_level lowest); /* names the process, sets the lowest level */
+    enum kwb_log_level
+	min_level); /* names the process, sets the min_level level */
 void kwb_log(enum kwb_log_level level, const char *module, const char *format,
     ...) __attribute__((format(printf, 3, 4))); /* one key=value line */
-void kwb_log_buffer(void); /* lines go to standard output, never blocking */
-void kwb_log_flush(void);  /* writes what is buffered, or drops it */
+void kwb_log_enable_buffering(
+    void);		  /* lines go to standard output, never blocking */
+void kwb_log_flush(void); /* writes what is buffered, or drops it */
 
 /* ---- Buffers and text ------------------------------------------------ */
 
 struct kwb_buf {
 	char *data;
 	size_t used_bytes;
-	size_t room_bytes;
+	size_t capacity_bytes;
 };
 
 void kwb_buf_init(struct kwb_buf *buf);	  /* empty buffer */
@@ -114,29 +117,29 @@
 void kwb_buf_consume(
     struct kwb_buf *buf, size_t length_bytes); /* takes bytes off the front */
 const char *kwb_buf_text(const struct kwb_buf *buf); /* never NULL */
-void kwb_text_copy(char *to, size_t room_bytes,
+void kwb_text_copy(char *to, size_t capacity_bytes,
     const char *from); /* bounded copy, always ended */
 
 /* ---- Metrics --------------------------------------------------------- */
 
 enum kwb_metric {
-	KWB_METRIC_RAN,
-	KWB_METRIC_NOT_RUN,
-	KWB_METRIC_UNKNOWN,
+	KWB_METRIC_REQUESTS_RAN,
+	KWB_METRIC_REQUESTS_NOT_RUN,
+	KWB_METRIC_REQUESTS_UNKNOWN,
 	KWB_METRIC_RETRIES,
 	KWB_METRIC_HEDGES,
 	KWB_METRIC_RESUMES,
-	KWB_METRIC_SAMPLES,
-	KWB_METRIC_STALE,
+	KWB_METRIC_SAMPLES_DELIVERED,
+	KWB_METRIC_SAMPLES_STALE,
 	KWB_METRIC_TOKENS,
 	KWB_METRIC_TOKENS_WASTED,
-	KWB_METRIC_FENCED,
-	KWB_METRIC_STALE_LISTS,
-	KWB_METRIC_SWAPS,
-	KWB_METRIC_SWAP_FAILURES,
+	KWB_METRIC_REFUSED_FENCED,
+	KWB_METRIC_REFUSED_STALE_LISTS,
+	KWB_METRIC_WEIGHT_SWAPS,
+	KWB_METRIC_WEIGHT_SWAP_FAILURES,
 	KWB_METRIC_LINKS_LOST,
 	KWB_METRIC_CONTROL_BYTES,
-	KWB_METRIC_DETOURS,
+	KWB_METRIC_STORE_DETOURS,
 	KWB_METRIC_RELAYED_BYTES,
 	KWB_METRIC_LISTS_REVISION,
 	KWB_METRIC_COUNT
@@ -153,8 +156,8 @@
 	KWB_HISTOGRAM_COUNT
 };
 
-void kwb_histogram_add(
-    enum kwb_histogram histogram, uint64_t taken_ns); /* counts a latency */
+void kwb_histogram_observe(
+    enum kwb_histogram histogram, uint64_t latency_ns); /* counts a latency */
 void kwb_metrics_print(struct kwb_buf *out); /* text exposition format */
 
 /* ---- Faults in settings and lists ------------------------------------ */
@@ -641,8 +644,8 @@
 };
 
 struct kwb_choice {
-	int index;	    /* of the candidate; -1 for none */
-	int error;	    /* 0, KWB_ERR_ROUTE_NONE or KWB_ERR_ROUTE_FULL */
+	int index; /* of the candidate; -1 for none */
+	int error; /* 0, KWB_ERR_ROUTE_NO_UPSTREAM or KWB_ERR_ROUTE_FULL */
 	const char *reason; /* why this one, or why none; for the log */
 };
 
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -416,7 +416,7 @@
 	    struct kwb_store_call *call);
 	/*
 	 * Waits up to wait_ms for changes of a table after a revision. Answers
-	 * KWB_ERR_STORE_HISTORY when the store does not keep that history.
+	 * KWB_ERR_STORE_HISTORY_GONE when the store does not keep that history.
 	 */
 	int (*feed)(struct kwb_store *store, const char *table, uint64_t after,
 	    uint32_t wait_ms, struct kwb_store_call *call);
@@ -430,7 +430,7 @@
 	/* Ends a call in progress without calling on_done. */
 	void (*cancel)(struct kwb_store *store, struct kwb_store_call *call);
 	/*
-	 * Ends calls begun before then with KWB_ERR_STORE_UNKNOWN; returns
+	 * Ends calls begun before then with KWB_ERR_STORE_NO_ANSWER; returns
 	 * their number.
 	 */
 	uint32_t (*give_up)(struct kwb_store *store, uint64_t before_ns);
@@ -460,7 +460,7 @@
 int kwb_store_probe(struct kwb_store *store, struct kwb_store_call *call);
 /* False when the call was refused or its outcome is unknown. */
 bool kwb_store_has_answered(const struct kwb_store_answer *answer);
-/* Ends calls begun before before_ns with KWB_ERR_STORE_UNKNOWN. */
+/* Ends calls begun before before_ns with KWB_ERR_STORE_NO_ANSWER. */
 void kwb_store_give_up(struct kwb_store *store, uint64_t before_ns);
 /*
  * Notes an ended call: when the store answered, on which path, and its clock.
@@ -1284,8 +1284,8 @@
 };
 
 int kwb_batch_record_parse(struct kwb_batch_record *record,
-    const struct kwb_row *row); /* 0, or KWB_ERR_STORE_VALUE; id and revision
-				   are set even then */
+    const struct kwb_row *row); /* 0, or KWB_ERR_STORE_UNREADABLE; id and
+				   revision are set even then */
 int kwb_batch_record_serialize(const struct kwb_batch_record *record,
     struct kwb_buf *out); /* appends the row's value; 0 or an error */
 
--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -54,7 +54,7 @@
 	shard = journal_lock(&agent->journal, run->key);
 	job = journal_find(shard, run->key);
 	if (run->lists_revision < kwb_current_lists_revision()) {
-		kwb_metric_add(KWB_METRIC_STALE_LISTS, 1);
+		kwb_metric_add(KWB_METRIC_REFUSED_STALE_LISTS, 1);
 		send_lists(agent, link);
 		refuse(agent, link, run->request, KWB_OUTCOME_NOT_RUN,
 		    KWB_ERR_CALL_STALE_LISTS);
@@ -149,7 +149,7 @@
 
 	if (journal_raise_fence(
 		&agent->journal, find->plan, find->step, find->attempt) != 0)
-		kwb_metric_add(KWB_METRIC_FENCED, 1);
+		kwb_metric_add(KWB_METRIC_REFUSED_FENCED, 1);
 	held_capacity = atomic_load(&agent->journal.count) + 1;
 	held = calloc(held_capacity, sizeof(*held));
 	pointers = calloc(held_capacity, sizeof(*pointers));
@@ -264,7 +264,7 @@
 	if (run->slot != NULL &&
 	    journal_raise_fence(&agent->journal, run->plan, run->slot->step,
 		run->slot->attempt) != 0) {
-		kwb_metric_add(KWB_METRIC_FENCED, 1);
+		kwb_metric_add(KWB_METRIC_REFUSED_FENCED, 1);
 		return KWB_ERR_CALL_FENCED;
 	}
 	if (journal_is_full(&agent->journal))
@@ -289,7 +289,7 @@
 		return;
 	}
 	if (attempt < job->attempt) {
-		kwb_metric_add(KWB_METRIC_FENCED, 1);
+		kwb_metric_add(KWB_METRIC_REFUSED_FENCED, 1);
 		refuse(agent, link, run->request, KWB_OUTCOME_NOT_RUN,
 		    KWB_ERR_CALL_FENCED);
 		return;
--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -59,7 +59,7 @@
 	if (!upstream_find_model(agent, run->model, &before) ||
 	    before.version < run->min_version) {
 		job->outcome = KWB_OUTCOME_NOT_RUN;
-		job->error = KWB_ERR_CALL_VERSION;
+		job->error = KWB_ERR_CALL_OLD_WEIGHTS;
 		return;
 	}
 	stream.assumed_version = before.version;
@@ -69,7 +69,8 @@
 	body = print_generate_body(job);
 	request.body = body;
 	request.body_bytes = strlen(body);
-	request.timeout_ms = (uint32_t)kwb_clock_left_ms(job->deadline_ns) + 1;
+	request.timeout_ms =
+	    (uint32_t)kwb_clock_remaining_ms(job->deadline_ns) + 1;
 	error = kwb_http_do(&request, &answer);
 	generate_set_outcome(&stream, error, &answer, &before);
 	kwb_http_answer_finish(&answer);
@@ -97,7 +98,8 @@
 
 	snprintf(
 	    url, sizeof(url), "%s%s", agent->settings->upstream, run->path);
-	request.timeout_ms = (uint32_t)kwb_clock_left_ms(job->deadline_ns) + 1;
+	request.timeout_ms =
+	    (uint32_t)kwb_clock_remaining_ms(job->deadline_ns) + 1;
 	error = kwb_http_do(&request, &answer);
 	shard = journal_lock(&agent->journal, job->key);
 	if (error == 0) {
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -67,7 +67,7 @@
 		return;
 	}
 	if (kwb_batch_record_parse(&end->record, &answer->rows[0]) != 0) {
-		end_done(end, KWB_ERR_STORE_VALUE);
+		end_done(end, KWB_ERR_STORE_UNREADABLE);
 		return;
 	}
 	records_update(end->batches, &end->record);
--- a/src/batch/head.c
+++ b/src/batch/head.c
@@ -55,7 +55,7 @@
 	record->revision = row->revision;
 	if (!json_is_object(value)) {
 		json_decref(value);
-		return KWB_ERR_STORE_VALUE;
+		return KWB_ERR_STORE_UNREADABLE;
 	}
 	copy_string(record->owner, sizeof(record->owner), value, "owner");
 	copy_string(record->host, sizeof(record->host), value, "host");
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -50,7 +50,7 @@
 	if (answer->error != 0) {
 		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
-			? KWB_ERR_STORE_UNKNOWN /* a row names it */
+			? KWB_ERR_STORE_NO_ANSWER /* a row names it */
 			: answer->error);
 		return;
 	}
@@ -168,7 +168,7 @@
 		return;
 	}
 	if (kwb_batch_record_parse(&record, &answer->rows[0]) != 0) {
-		read_done(read, KWB_ERR_STORE_VALUE);
+		read_done(read, KWB_ERR_STORE_UNREADABLE);
 		return;
 	}
 	records_update(read->batches, &record);
@@ -224,7 +224,7 @@
 	if (answer->error != 0) {
 		read_retry(read,
 		    answer->error == KWB_ERR_STORE_MISSING
-			? KWB_ERR_STORE_UNKNOWN /* its record exists */
+			? KWB_ERR_STORE_NO_ANSWER /* its record exists */
 			: answer->error);
 		return;
 	}
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -83,7 +83,7 @@
 
 	/* The clock of the node that accepted it may be ahead. */
 	if (now_ms >= run->batch->record.accepted_ms)
-		kwb_histogram_add(KWB_HISTOGRAM_ITEM,
+		kwb_histogram_observe(KWB_HISTOGRAM_ITEM,
 		    (now_ms - run->batch->record.accepted_ms) * KWB_MS_NS);
 	run->result = result;
 	run_log(run, result == KWB_ITEM_COMPLETED ? "completed" : "errored",
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -163,7 +163,7 @@
 	run.lists_revision = kwb_current_lists_revision();
 	run.agent_incarnation = call->pin.incarnation;
 	run.minted_ms = call->pin.minted_ms;
-	run.budget_ms = (uint32_t)kwb_clock_left_ms(call->deadline_ns);
+	run.budget_ms = (uint32_t)kwb_clock_remaining_ms(call->deadline_ns);
 	run.slack_ms = run.budget_ms;
 	run.priority = 1;
 	run.idempotent = call->idempotent;
@@ -275,8 +275,8 @@
 	dispatch->target.peer_index = -1;
 	query_after_reconnect(dispatch);
 	if (dispatch->answer->outcome == KWB_OUTCOME_NOT_RUN)
-		answer_set(
-		    dispatch->answer, KWB_OUTCOME_UNKNOWN, KWB_ERR_ROUTE_NONE);
+		answer_set(dispatch->answer, KWB_OUTCOME_UNKNOWN,
+		    KWB_ERR_ROUTE_NO_UPSTREAM);
 	if (dispatch->answer->error == 0) {
 		wait_for_outcome(dispatch);
 		registry_close_request(
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -51,7 +51,7 @@
 	    &entry->origin, generation->name, generation->starts_count);
 	error = peers_pick(entry, &query, generation->plan, generation->model,
 	    generation->key, &generation->target);
-	if (error == KWB_ERR_ROUTE_NONE && query.exclude >= 0) {
+	if (error == KWB_ERR_ROUTE_NO_UPSTREAM && query.exclude >= 0) {
 		query.exclude = -1;
 		error = peers_pick(entry, &query, generation->plan,
 		    generation->model, generation->key, &generation->target);
@@ -144,9 +144,10 @@
 	run.plan = (char *)generation->plan;
 	run.lists_revision = kwb_current_lists_revision();
 	run.agent_incarnation = target->incarnation;
-	run.budget_ms = (uint32_t)kwb_clock_left_ms(generation->deadline_ns);
+	run.budget_ms =
+	    (uint32_t)kwb_clock_remaining_ms(generation->deadline_ns);
 	run.slack_ms =
-	    (uint32_t)kwb_clock_left_ms(generation->slack_deadline_ns);
+	    (uint32_t)kwb_clock_remaining_ms(generation->slack_deadline_ns);
 	run.priority = generation->priority;
 	run.idempotent = true;
 	run.model = (char *)generation->model;
--- a/src/call/journal.c
+++ b/src/call/journal.c
@@ -113,7 +113,7 @@
 void
 journal_retain(struct journal *journal, struct job *job)
 {
-	size_t bytes = job->body.room_bytes;
+	size_t bytes = job->body.capacity_bytes;
 	uint32_t i;
 
 	for (i = 0; i < job->tokens.count; i++)
--- a/src/call/ticket.c
+++ b/src/call/ticket.c
@@ -93,7 +93,7 @@
 	for (tries = 0; tries < CLAIM_TRIES; tries++) {
 		error = kwb_table_put(
 		    platform, name, value.data, value.used_bytes, 0, &revision);
-		if (error != KWB_ERR_PLATFORM_DOWN)
+		if (error != KWB_ERR_PLATFORM_UNREACHABLE)
 			break;
 	}
 	if (error == KWB_ERR_PLATFORM_CONFLICT) {
--- a/src/core/buf.c
+++ b/src/core/buf.c
@@ -8,7 +8,7 @@
 
 #include "kwb.h"
 
-#define BUF_FIRST_BYTES 256
+#define INITIAL_CAPACITY 256
 
 void
 kwb_buf_init(struct kwb_buf *buf)
@@ -26,18 +26,19 @@
 int
 kwb_buf_reserve(struct kwb_buf *buf, size_t more_bytes)
 {
-	size_t room = buf->room_bytes ? buf->room_bytes : BUF_FIRST_BYTES;
+	size_t capacity_bytes =
+	    buf->capacity_bytes ? buf->capacity_bytes : INITIAL_CAPACITY;
 	char *data;
 
-	while (room < buf->used_bytes + more_bytes + 1)
-		room *= 2;
-	if (room == buf->room_bytes)
+	while (capacity_bytes < buf->used_bytes + more_bytes + 1)
+		capacity_bytes *= 2;
+	if (capacity_bytes == buf->capacity_bytes)
 		return 0;
-	data = realloc(buf->data, room);
+	data = realloc(buf->data, capacity_bytes);
 	if (data == NULL)
 		return KWB_ERR_MEMORY;
 	buf->data = data;
-	buf->room_bytes = room;
+	buf->capacity_bytes = capacity_bytes;
 	return 0;
 }
 
@@ -89,9 +90,9 @@
 }
 
 void
-kwb_text_copy(char *to, size_t room_bytes, const char *from)
+kwb_text_copy(char *to, size_t capacity_bytes, const char *from)
 {
-	size_t length = strnlen(from, room_bytes - 1);
+	size_t length = strnlen(from, capacity_bytes - 1);
 
 	memcpy(to, from, length);
 	to[length] = '\0';
--- a/src/core/clock.c
+++ b/src/core/clock.c
@@ -25,7 +25,7 @@
 }
 
 uint64_t
-kwb_clock_left_ms(uint64_t deadline_ns)
+kwb_clock_remaining_ms(uint64_t deadline_ns)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -8,7 +8,7 @@
 static const struct {
 	int error;
 	const char *name;
-} errors[] = {
+} error_names[] = {
     {0, "ok"},
     {KWB_ERR_MEMORY, "out_of_memory"},
     {KWB_ERR_ARGUMENT, "bad_argument"},
@@ -27,17 +27,17 @@
     {KWB_ERR_NET_BODY_SIZE, "body_too_large"},
     {KWB_ERR_STORE_CONFLICT, "store_conflict"},
     {KWB_ERR_STORE_REFUSED, "store_refused"},
-    {KWB_ERR_STORE_UNKNOWN, "store_no_answer"},
-    {KWB_ERR_STORE_HISTORY, "store_history_gone"},
+    {KWB_ERR_STORE_NO_ANSWER, "store_no_answer"},
+    {KWB_ERR_STORE_HISTORY_GONE, "store_history_gone"},
     {KWB_ERR_STORE_MISSING, "store_missing"},
-    {KWB_ERR_STORE_VALUE, "store_value_unreadable"},
-    {KWB_ERR_PLATFORM_DOWN, "platform_unreachable"},
+    {KWB_ERR_STORE_UNREADABLE, "store_value_unreadable"},
+    {KWB_ERR_PLATFORM_UNREACHABLE, "platform_unreachable"},
     {KWB_ERR_PLATFORM_CONFLICT, "platform_conflict"},
     {KWB_ERR_PLATFORM_MISSING, "platform_missing"},
     {KWB_ERR_LISTS_INVALID, "lists_invalid"},
     {KWB_ERR_LISTS_CONFLICT, "lists_conflict"},
     {KWB_ERR_LISTS_NONE, "no_lists_yet"},
-    {KWB_ERR_ROUTE_NONE, "no_upstream"},
+    {KWB_ERR_ROUTE_NO_UPSTREAM, "no_upstream"},
     {KWB_ERR_ROUTE_FULL, "all_upstreams_full"},
     {KWB_ERR_CALL_BUSY, "agent_busy"},
     {KWB_ERR_CALL_LEAVING, "agent_leaving"},
@@ -47,10 +47,10 @@
     {KWB_ERR_CALL_BARRED, "barred"},
     {KWB_ERR_CALL_DEADLINE, "deadline"},
     {KWB_ERR_CALL_UPSTREAM, "upstream_failed"},
-    {KWB_ERR_CALL_VERSION, "weights_too_old"},
+    {KWB_ERR_CALL_OLD_WEIGHTS, "weights_too_old"},
     {KWB_ERR_CALL_CANCELLED, "cancelled"},
     {KWB_ERR_CALL_FORGOTTEN, "key_forgotten"},
-    {KWB_ERR_WEIGHTS_UNKNOWN, "fencing_state_unknown"},
+    {KWB_ERR_WEIGHTS_FENCE_UNKNOWN, "fencing_state_unknown"},
     {KWB_ERR_WEIGHTS_SWAP, "swap_failed"},
 };
 
@@ -59,8 +59,8 @@
 {
 	size_t i;
 
-	for (i = 0; i < sizeof(errors) / sizeof(errors[0]); i++)
-		if (errors[i].error == error)
-			return errors[i].name;
+	for (i = 0; i < sizeof(error_names) / sizeof(error_names[0]); i++)
+		if (error_names[i].error == error)
+			return error_names[i].name;
 	return "unknown_error";
 }
--- a/src/core/log.c
+++ b/src/core/log.c
@@ -17,32 +17,32 @@
 #define LINE_MAX_BYTES 1024
 
 static const char *const level_names[] = {"debug", "info", "warn", "error"};
-static enum kwb_log_level threshold = KWB_LOG_INFO;
+static enum kwb_log_level log_min_level = KWB_LOG_INFO;
 static char process_name[KWB_NAME_MAX_BYTES] = "-";
 
 void
-kwb_log_init(const char *process, enum kwb_log_level lowest)
+kwb_log_init(const char *process, enum kwb_log_level min_level)
 {
 	kwb_text_copy(process_name, sizeof(process_name), process);
-	threshold = lowest;
+	log_min_level = min_level;
 }
 
-static bool buffered;
+static bool is_buffered;
 static char buffer[KWB_LOG_BUFFER_BYTES];
 static size_t buffer_bytes;
-static uint64_t dropped;
-static uint64_t second_ms;
-static uint32_t second_lines;
-static uint32_t second_warnings;
+static uint64_t dropped_lines;
+static uint64_t current_second_ms;
+static uint32_t lines_in_second;
+static uint32_t warnings_in_second;
 
 void
-kwb_log_buffer(void)
+kwb_log_enable_buffering(void)
 {
 	int flags = fcntl(STDOUT_FILENO, F_GETFL);
 
 	if (flags >= 0)
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-	buffered = true;
+	is_buffered = true;
 }
 
 void
@@ -63,25 +63,25 @@
 
 /* Whether a line fits into this second; tells how many did not. */
 static bool
-line_allowed(enum kwb_log_level level, uint64_t wall_ms)
+line_is_allowed(enum kwb_log_level level, uint64_t wall_ms)
 {
-	if (wall_ms / 1000 != second_ms / 1000) {
-		second_ms = wall_ms;
-		second_lines = 0;
-		second_warnings = 0;
-		if (dropped > 0) {
-			uint64_t count = dropped;
+	if (wall_ms / 1000 != current_second_ms / 1000) {
+		current_second_ms = wall_ms;
+		lines_in_second = 0;
+		warnings_in_second = 0;
+		if (dropped_lines > 0) {
+			uint64_t count = dropped_lines;
 
-			dropped = 0;
+			dropped_lines = 0;
 			kwb_log(KWB_LOG_WARN, "log",
 			    "event=lines_dropped count=%llu",
 			    (unsigned long long)count);
 		}
 	}
 	/* Apart, so that usual lines never push a warning out. */
-	if ((level < KWB_LOG_WARN ? ++second_lines : ++second_warnings) >
+	if ((level < KWB_LOG_WARN ? ++lines_in_second : ++warnings_in_second) >
 	    KWB_LOG_LINES_PER_S) {
-		dropped++;
+		dropped_lines++;
 		return false;
 	}
 	return true;
@@ -93,7 +93,7 @@
 	if (buffer_bytes + length_bytes > sizeof(buffer))
 		kwb_log_flush();
 	if (buffer_bytes + length_bytes > sizeof(buffer)) {
-		dropped++;
+		dropped_lines++;
 		return;
 	}
 	memcpy(buffer + buffer_bytes, line, length_bytes);
@@ -105,28 +105,30 @@
 {
 	char line[LINE_MAX_BYTES];
 	uint64_t wall_ms = kwb_clock_wall_ms();
-	size_t used;
+	size_t used_bytes;
 	int length;
 	va_list args;
 
-	if (level < threshold || (buffered && !line_allowed(level, wall_ms)))
+	if (level < log_min_level ||
+	    (is_buffered && !line_is_allowed(level, wall_ms)))
 		return;
 	length = snprintf(line, sizeof(line),
 	    "%s: time_ms=%llu level=%s process=%s ", module,
 	    (unsigned long long)wall_ms, level_names[level], process_name);
-	used = (size_t)length;
+	used_bytes = (size_t)length;
 	va_start(args, format);
-	length = vsnprintf(line + used, sizeof(line) - used, format, args);
+	length = vsnprintf(
+	    line + used_bytes, sizeof(line) - used_bytes, format, args);
 	va_end(args);
 	if (length > 0)
-		used += (size_t)length;
-	if (used > sizeof(line) - 2)
-		used = sizeof(line) - 2;
-	line[used++] = '\n';
-	if (buffered) {
-		line_buffer(line, used);
+		used_bytes += (size_t)length;
+	if (used_bytes > sizeof(line) - 2)
+		used_bytes = sizeof(line) - 2;
+	line[used_bytes++] = '\n';
+	if (is_buffered) {
+		line_buffer(line, used_bytes);
 		return;
 	}
-	if (write(STDERR_FILENO, line, used) < 0)
+	if (write(STDERR_FILENO, line, used_bytes) < 0)
 		return;
 }
--- a/src/core/metrics.c
+++ b/src/core/metrics.c
@@ -5,52 +5,54 @@
 
 #include "kwb.h"
 
-static const char *const names[KWB_METRIC_COUNT] = {
-    [KWB_METRIC_RAN] = "kwb_requests_ran_total",
-    [KWB_METRIC_NOT_RUN] = "kwb_requests_not_run_total",
-    [KWB_METRIC_UNKNOWN] = "kwb_requests_unknown_total",
+static const char *const metric_names[KWB_METRIC_COUNT] = {
+    [KWB_METRIC_REQUESTS_RAN] = "kwb_requests_ran_total",
+    [KWB_METRIC_REQUESTS_NOT_RUN] = "kwb_requests_not_run_total",
+    [KWB_METRIC_REQUESTS_UNKNOWN] = "kwb_requests_unknown_total",
     [KWB_METRIC_RETRIES] = "kwb_retries_total",
     [KWB_METRIC_HEDGES] = "kwb_hedges_total",
     [KWB_METRIC_RESUMES] = "kwb_resumes_total",
-    [KWB_METRIC_SAMPLES] = "kwb_samples_delivered_total",
-    [KWB_METRIC_STALE] = "kwb_samples_stale_total",
+    [KWB_METRIC_SAMPLES_DELIVERED] = "kwb_samples_delivered_total",
+    [KWB_METRIC_SAMPLES_STALE] = "kwb_samples_stale_total",
     [KWB_METRIC_TOKENS] = "kwb_tokens_total",
     [KWB_METRIC_TOKENS_WASTED] = "kwb_tokens_wasted_total",
-    [KWB_METRIC_FENCED] = "kwb_refused_fenced_total",
-    [KWB_METRIC_STALE_LISTS] = "kwb_refused_stale_lists_total",
-    [KWB_METRIC_SWAPS] = "kwb_weight_swaps_total",
-    [KWB_METRIC_SWAP_FAILURES] = "kwb_weight_swap_failures_total",
+    [KWB_METRIC_REFUSED_FENCED] = "kwb_refused_fenced_total",
+    [KWB_METRIC_REFUSED_STALE_LISTS] = "kwb_refused_stale_lists_total",
+    [KWB_METRIC_WEIGHT_SWAPS] = "kwb_weight_swaps_total",
+    [KWB_METRIC_WEIGHT_SWAP_FAILURES] = "kwb_weight_swap_failures_total",
     [KWB_METRIC_LINKS_LOST] = "kwb_links_lost_total",
     [KWB_METRIC_CONTROL_BYTES] = "kwb_control_bytes_total",
-    [KWB_METRIC_DETOURS] = "kwb_store_detours_total",
+    [KWB_METRIC_STORE_DETOURS] = "kwb_store_detours_total",
     [KWB_METRIC_RELAYED_BYTES] = "kwb_relayed_bytes_total",
     [KWB_METRIC_LISTS_REVISION] = "kwb_lists_revision",
 };
-static _Atomic uint64_t values[KWB_METRIC_COUNT];
+static _Atomic uint64_t metric_values[KWB_METRIC_COUNT];
 
 void
 kwb_metric_add(enum kwb_metric metric, uint64_t amount)
 {
 	atomic_fetch_add_explicit(
-	    &values[metric], amount, memory_order_relaxed);
+	    &metric_values[metric], amount, memory_order_relaxed);
 }
 
 void
 kwb_metric_set(enum kwb_metric metric, uint64_t value)
 {
-	atomic_store_explicit(&values[metric], value, memory_order_relaxed);
+	atomic_store_explicit(
+	    &metric_values[metric], value, memory_order_relaxed);
 }
 
 uint64_t
 kwb_metric_get(enum kwb_metric metric)
 {
-	return atomic_load_explicit(&values[metric], memory_order_relaxed);
+	return atomic_load_explicit(
+	    &metric_values[metric], memory_order_relaxed);
 }
 
-#define BUCKETS 12
+#define BOUNDED_BUCKETS 12
 
-/* Upper bounds of the buckets, in milliseconds; the last has none. */
-static const uint32_t bounds_ms[BUCKETS] = {
+/* Upper bounds of the bucket_counts, in milliseconds; the last has none. */
+static const uint32_t bucket_bounds_ms[BOUNDED_BUCKETS] = {
     5, 10, 25, 50, 100, 150, 250, 500, 1000, 2500, 5000, 10000};
 static const char *const histogram_names[KWB_HISTOGRAM_COUNT] = {
     [KWB_HISTOGRAM_CALLER] = "kwb_caller_seconds",
@@ -58,21 +60,21 @@
     [KWB_HISTOGRAM_ITEM] = "kwb_item_seconds",
     [KWB_HISTOGRAM_STORE] = "kwb_store_seconds",
 };
-static _Atomic uint64_t buckets[KWB_HISTOGRAM_COUNT][BUCKETS + 1];
-static _Atomic uint64_t sums_ns[KWB_HISTOGRAM_COUNT];
+static _Atomic uint64_t bucket_counts[KWB_HISTOGRAM_COUNT][BOUNDED_BUCKETS + 1];
+static _Atomic uint64_t latency_sums_ns[KWB_HISTOGRAM_COUNT];
 
 void
-kwb_histogram_add(enum kwb_histogram histogram, uint64_t taken_ns)
+kwb_histogram_observe(enum kwb_histogram histogram, uint64_t latency_ns)
 {
 	unsigned i;
 
-	for (i = 0; i < BUCKETS; i++)
-		if (taken_ns <= bounds_ms[i] * KWB_MS_NS)
+	for (i = 0; i < BOUNDED_BUCKETS; i++)
+		if (latency_ns <= bucket_bounds_ms[i] * KWB_MS_NS)
 			break;
 	atomic_fetch_add_explicit(
-	    &buckets[histogram][i], 1, memory_order_relaxed);
+	    &bucket_counts[histogram][i], 1, memory_order_relaxed);
 	atomic_fetch_add_explicit(
-	    &sums_ns[histogram], taken_ns, memory_order_relaxed);
+	    &latency_sums_ns[histogram], latency_ns, memory_order_relaxed);
 }
 
 static void
@@ -83,19 +85,19 @@
 	unsigned i;
 
 	kwb_buf_printf(out, "# TYPE %s histogram\n", name);
-	for (i = 0; i < BUCKETS; i++) {
+	for (i = 0; i < BOUNDED_BUCKETS; i++) {
 		count += atomic_load_explicit(
-		    &buckets[histogram][i], memory_order_relaxed);
+		    &bucket_counts[histogram][i], memory_order_relaxed);
 		kwb_buf_printf(out, "%s_bucket{le=\"%.3f\"} %llu\n", name,
-		    bounds_ms[i] / 1000.0, (unsigned long long)count);
+		    bucket_bounds_ms[i] / 1000.0, (unsigned long long)count);
 	}
 	count += atomic_load_explicit(
-	    &buckets[histogram][BUCKETS], memory_order_relaxed);
+	    &bucket_counts[histogram][BOUNDED_BUCKETS], memory_order_relaxed);
 	kwb_buf_printf(out,
 	    "%s_bucket{le=\"+Inf\"} %llu\n%s_sum %.3f\n%s_count %llu\n", name,
 	    (unsigned long long)count, name,
 	    (double)atomic_load_explicit(
-		&sums_ns[histogram], memory_order_relaxed) /
+		&latency_sums_ns[histogram], memory_order_relaxed) /
 		1e9,
 	    name, (unsigned long long)count);
 }
@@ -106,9 +108,9 @@
 	unsigned i;
 
 	for (i = 0; i < KWB_METRIC_COUNT; i++)
-		kwb_buf_printf(out, "# TYPE %s %s\n%s %llu\n", names[i],
+		kwb_buf_printf(out, "# TYPE %s %s\n%s %llu\n", metric_names[i],
 		    i == KWB_METRIC_LISTS_REVISION ? "gauge" : "counter",
-		    names[i], (unsigned long long)kwb_metric_get(i));
+		    metric_names[i], (unsigned long long)kwb_metric_get(i));
 	for (i = 0; i < KWB_HISTOGRAM_COUNT; i++)
 		histogram_print(i, out);
 }
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -13,16 +13,17 @@
 #define SLOTS_DEFAULT 16
 #define SLOTS_MAX 256
 #define WORKERS_MAX 4096
-#define OPT CYAML_FLAG_OPTIONAL
+#define OPTIONAL CYAML_FLAG_OPTIONAL
 
-#define TEXT(type, field) CYAML_FIELD_STRING(#field, OPT, type, field, 0)
-#define UINT(type, field) CYAML_FIELD_UINT(#field, OPT, type, field)
+#define TEXT_FIELD(type, field)                                                \
+	CYAML_FIELD_STRING(#field, OPTIONAL, type, field, 0)
+#define UINT_FIELD(type, field) CYAML_FIELD_UINT(#field, OPTIONAL, type, field)
 
 static const cyaml_schema_field_t seed_fields[] = {
-    TEXT(struct kwb_seed, vm),
-    TEXT(struct kwb_seed, address),
-    TEXT(struct kwb_seed, failure_domain),
-    TEXT(struct kwb_seed, pool),
+    TEXT_FIELD(struct kwb_seed, vm),
+    TEXT_FIELD(struct kwb_seed, address),
+    TEXT_FIELD(struct kwb_seed, failure_domain),
+    TEXT_FIELD(struct kwb_seed, pool),
     CYAML_FIELD_END,
 };
 
@@ -31,15 +32,15 @@
 };
 
 static const cyaml_schema_field_t entry_fields[] = {
-    TEXT(struct kwb_entry_settings, vm),
-    TEXT(struct kwb_entry_settings, failure_domain),
-    TEXT(struct kwb_entry_settings, listen),
-    TEXT(struct kwb_entry_settings, platform),
-    TEXT(struct kwb_entry_settings, policy),
-    UINT(struct kwb_entry_settings, workers),
-    UINT(struct kwb_entry_settings, subset),
-    UINT(struct kwb_entry_settings, drain_ms),
-    CYAML_FIELD_SEQUENCE("seeds", OPT | CYAML_FLAG_POINTER,
+    TEXT_FIELD(struct kwb_entry_settings, vm),
+    TEXT_FIELD(struct kwb_entry_settings, failure_domain),
+    TEXT_FIELD(struct kwb_entry_settings, listen),
+    TEXT_FIELD(struct kwb_entry_settings, platform),
+    TEXT_FIELD(struct kwb_entry_settings, policy),
+    UINT_FIELD(struct kwb_entry_settings, workers),
+    UINT_FIELD(struct kwb_entry_settings, subset),
+    UINT_FIELD(struct kwb_entry_settings, drain_ms),
+    CYAML_FIELD_SEQUENCE("seeds", OPTIONAL | CYAML_FLAG_POINTER,
 	struct kwb_entry_settings, seeds, &seed_schema, 0, KWB_SEEDS_MAX),
     CYAML_FIELD_END,
 };
@@ -55,20 +56,20 @@
 };
 
 static const cyaml_schema_field_t agent_fields[] = {
-    TEXT(struct kwb_agent_settings, vm),
-    TEXT(struct kwb_agent_settings, failure_domain),
-    TEXT(struct kwb_agent_settings, listen),
-    TEXT(struct kwb_agent_settings, platform),
-    TEXT(struct kwb_agent_settings, pool),
-    TEXT(struct kwb_agent_settings, upstream),
-    TEXT(struct kwb_agent_settings, metrics),
-    CYAML_FIELD_ENUM("upstream_kind", OPT, struct kwb_agent_settings,
+    TEXT_FIELD(struct kwb_agent_settings, vm),
+    TEXT_FIELD(struct kwb_agent_settings, failure_domain),
+    TEXT_FIELD(struct kwb_agent_settings, listen),
+    TEXT_FIELD(struct kwb_agent_settings, platform),
+    TEXT_FIELD(struct kwb_agent_settings, pool),
+    TEXT_FIELD(struct kwb_agent_settings, upstream),
+    TEXT_FIELD(struct kwb_agent_settings, metrics),
+    CYAML_FIELD_ENUM("upstream_kind", OPTIONAL, struct kwb_agent_settings,
 	upstream_kind, upstream_kinds, 2),
-    CYAML_FIELD_BOOL(
-	"upstream_fences", OPT, struct kwb_agent_settings, upstream_fences),
-    UINT(struct kwb_agent_settings, slots),
-    UINT(struct kwb_agent_settings, interactive_reserve),
-    UINT(struct kwb_agent_settings, drain_ms),
+    CYAML_FIELD_BOOL("upstream_fences", OPTIONAL, struct kwb_agent_settings,
+	upstream_fences),
+    UINT_FIELD(struct kwb_agent_settings, slots),
+    UINT_FIELD(struct kwb_agent_settings, interactive_reserve),
+    UINT_FIELD(struct kwb_agent_settings, drain_ms),
     CYAML_FIELD_END,
 };
 
@@ -80,15 +81,15 @@
 static void settings_load(const cyaml_schema_value_t *schema, const char *path,
     struct kwb_faults *faults, void **settings);
 static void settings_free(const cyaml_schema_value_t *schema, void *settings);
-static void check_text(struct kwb_faults *faults, const char *path,
+static void check_present(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_address(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_url(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_range(struct kwb_faults *faults, const char *path,
-    const char *field, uint32_t value, uint32_t low, uint32_t high);
-static void default_to(uint32_t *value, uint32_t fallback);
+    const char *field, uint32_t value, uint32_t min, uint32_t max);
+static void set_default(uint32_t *value, uint32_t default_value);
 
 int
 kwb_entry_settings_load(struct kwb_entry_settings **settings, const char *path,
@@ -102,11 +103,11 @@
 	if (*settings == NULL)
 		return KWB_ERR_SETTINGS;
 	entry = *settings;
-	default_to(&entry->workers, WORKERS_DEFAULT);
-	default_to(&entry->subset, SUBSET_DEFAULT);
-	default_to(&entry->drain_ms, DRAIN_MS_DEFAULT);
-	check_text(faults, path, "vm", entry->vm);
-	check_text(faults, path, "failure_domain", entry->failure_domain);
+	set_default(&entry->workers, WORKERS_DEFAULT);
+	set_default(&entry->subset, SUBSET_DEFAULT);
+	set_default(&entry->drain_ms, DRAIN_MS_DEFAULT);
+	check_present(faults, path, "vm", entry->vm);
+	check_present(faults, path, "failure_domain", entry->failure_domain);
 	check_address(faults, path, "listen", entry->listen);
 	check_url(faults, path, "platform", entry->platform);
 	check_range(faults, path, "workers", entry->workers, 8, WORKERS_MAX);
@@ -142,11 +143,11 @@
 	if (*settings == NULL)
 		return KWB_ERR_SETTINGS;
 	agent = *settings;
-	default_to(&agent->slots, SLOTS_DEFAULT);
-	default_to(&agent->drain_ms, DRAIN_MS_DEFAULT);
-	check_text(faults, path, "vm", agent->vm);
-	check_text(faults, path, "failure_domain", agent->failure_domain);
-	check_text(faults, path, "pool", agent->pool);
+	set_default(&agent->slots, SLOTS_DEFAULT);
+	set_default(&agent->drain_ms, DRAIN_MS_DEFAULT);
+	check_present(faults, path, "vm", agent->vm);
+	check_present(faults, path, "failure_domain", agent->failure_domain);
+	check_present(faults, path, "pool", agent->pool);
 	check_address(faults, path, "listen", agent->listen);
 	check_url(faults, path, "platform", agent->platform);
 	check_url(faults, path, "upstream", agent->upstream);
@@ -202,7 +203,7 @@
 }
 
 static void
-check_text(struct kwb_faults *faults, const char *path, const char *field,
+check_present(struct kwb_faults *faults, const char *path, const char *field,
     const char *value)
 {
 	if (value[0] == '\0')
@@ -231,16 +232,16 @@
 
 static void
 check_range(struct kwb_faults *faults, const char *path, const char *field,
-    uint32_t value, uint32_t low, uint32_t high)
+    uint32_t value, uint32_t min, uint32_t max)
 {
-	if (value < low || value > high)
+	if (value < min || value > max)
 		kwb_faults_add(faults, "%s: %s: %u is not in %u..%u", path,
-		    field, value, low, high);
+		    field, value, min, max);
 }
 
 static void
-default_to(uint32_t *value, uint32_t fallback)
+set_default(uint32_t *value, uint32_t default_value)
 {
 	if (*value == 0)
-		*value = fallback;
+		*value = default_value;
 }
--- a/src/core/yaml.c
+++ b/src/core/yaml.c
@@ -1,7 +1,7 @@
 /*
  * YAML loading: schema faults become one line each, with file, line and path.
- * Unknown keys are all reported; libcyaml stops at the first fault of type or
- * range.
+ * Unknown keys are all reported; libcyaml stops line_note the first fault of
+ * type or range.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -11,13 +11,13 @@
 #include "yaml.h"
 
 #define LINE_MAX_BYTES 512
-#define IGNORED "Load: Ignoring key: "
-#define IGNORED_FORMAT IGNORED "%s\n"
+#define IGNORED_KEY_PREFIX "Load: Ignoring key: "
+#define IGNORED_KEY_FORMAT IGNORED_KEY_PREFIX "%s\n"
 
-static void yaml_log(
+static void yaml_on_log(
     cyaml_log_t level, void *context, const char *format, va_list args);
-static void yaml_flush(struct kwb_yaml *yaml);
-static void yaml_unknown(struct kwb_yaml *yaml, const char *key);
+static void yaml_report_pending(struct kwb_yaml *yaml);
+static void yaml_report_unknown_key(struct kwb_yaml *yaml, const char *key);
 
 void
 kwb_yaml_init(
@@ -27,7 +27,7 @@
 	yaml->file = file;
 	yaml->faults = faults;
 	kwb_buf_init(&yaml->pending);
-	yaml->config.log_fn = yaml_log;
+	yaml->config.log_fn = yaml_on_log;
 	yaml->config.log_ctx = yaml;
 	yaml->config.mem_fn = cyaml_mem;
 	yaml->config.log_level = CYAML_LOG_DEBUG;
@@ -38,19 +38,19 @@
 kwb_yaml_load(struct kwb_yaml *yaml, const char *text, size_t length_bytes,
     const cyaml_schema_value_t *schema, void **data)
 {
-	unsigned before = yaml->faults->count;
+	unsigned count_before = yaml->faults->count;
 	cyaml_err_t error;
 
 	*data = NULL;
 	yaml->text = text;
 	error = cyaml_load_data((const uint8_t *)text, length_bytes,
 	    &yaml->config, schema, (cyaml_data_t **)data, NULL);
-	yaml_flush(yaml);
-	if (error != CYAML_OK && yaml->faults->count == before)
+	yaml_report_pending(yaml);
+	if (error != CYAML_OK && yaml->faults->count == count_before)
 		kwb_faults_add(
 		    yaml->faults, "%s: %s", yaml->file, cyaml_strerror(error));
 	/* With unknown fields alone the rest is there, for further checks. */
-	if (yaml->faults->count == before)
+	if (yaml->faults->count == count_before)
 		return 0;
 	return KWB_ERR_SETTINGS;
 }
@@ -66,30 +66,33 @@
 {
 	char chunk[4096];
 	FILE *file = fopen(path, "r");
-	size_t got;
+	size_t read_bytes;
 
 	if (file == NULL)
 		return KWB_ERR_SYSTEM;
-	while ((got = fread(chunk, 1, sizeof(chunk), file)) > 0)
-		kwb_buf_add(out, chunk, got);
+	while ((read_bytes = fread(chunk, 1, sizeof(chunk), file)) > 0)
+		kwb_buf_add(out, chunk, read_bytes);
 	fclose(file);
 	return 0;
 }
 
 /* An unindented line begins a fault; the rest is its backtrace. */
 static void
-yaml_log(cyaml_log_t level, void *context, const char *format, va_list args)
+yaml_on_log(cyaml_log_t level, void *context, const char *format, va_list args)
 {
 	struct kwb_yaml *yaml = context;
 	char line[LINE_MAX_BYTES];
 	const char *text = line;
 
-	if (level < CYAML_LOG_WARNING && strcmp(format, IGNORED_FORMAT) != 0)
+	if (level < CYAML_LOG_WARNING &&
+	    strcmp(format, IGNORED_KEY_FORMAT) != 0)
 		return;
 	vsnprintf(line, sizeof(line), format, args);
 	line[strcspn(line, "\n")] = '\0';
-	if (strncmp(line, IGNORED, strlen(IGNORED)) == 0) {
-		yaml_unknown(yaml, line + strlen(IGNORED));
+	if (strncmp(line, IGNORED_KEY_PREFIX, strlen(IGNORED_KEY_PREFIX)) ==
+	    0) {
+		yaml_report_unknown_key(
+		    yaml, line + strlen(IGNORED_KEY_PREFIX));
 		return;
 	}
 	if (strncmp(text, "Load: ", 6) == 0)
@@ -97,7 +100,7 @@
 	if (strcmp(text, "Backtrace:") == 0)
 		return;
 	if (text[0] != ' ')
-		yaml_flush(yaml);
+		yaml_report_pending(yaml);
 	else
 		text += strspn(text, " ");
 	if (yaml->pending.used_bytes > 0)
@@ -106,16 +109,16 @@
 }
 
 static void
-yaml_flush(struct kwb_yaml *yaml)
+yaml_report_pending(struct kwb_yaml *yaml)
 {
 	const char *text = kwb_buf_text(&yaml->pending);
-	const char *at = strstr(text, "(line: ");
+	const char *line_note = strstr(text, "(line: ");
 
 	if (yaml->pending.used_bytes == 0)
 		return;
-	if (at != NULL)
-		kwb_faults_add(
-		    yaml->faults, "%s:%d: %s", yaml->file, atoi(at + 7), text);
+	if (line_note != NULL)
+		kwb_faults_add(yaml->faults, "%s:%d: %s", yaml->file,
+		    atoi(line_note + 7), text);
 	else
 		kwb_faults_add(yaml->faults, "%s: %s", yaml->file, text);
 	yaml->pending.used_bytes = 0;
@@ -124,7 +127,7 @@
 /* libcyaml gives no line for a key it ignores: the first such key's is taken.
  */
 static void
-yaml_unknown(struct kwb_yaml *yaml, const char *key)
+yaml_report_unknown_key(struct kwb_yaml *yaml, const char *key)
 {
 	const char *text = yaml->text;
 	size_t length = strlen(key);
--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -87,9 +87,9 @@
 	int length;
 
 	if (outcome == KWB_OUTCOME_NOT_RUN)
-		kwb_metric_add(KWB_METRIC_NOT_RUN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_NOT_RUN, 1);
 	if (outcome == KWB_OUTCOME_UNKNOWN)
-		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_UNKNOWN, 1);
 	length = snprintf(body, sizeof(body),
 	    "{\"outcome\":\"%s\",\"error\":\"%s\",\"detail\":\"%s\"}\n",
 	    kwb_outcome_name(outcome), kwb_error_name(error), detail);
--- a/src/entry/http_call.c
+++ b/src/entry/http_call.c
@@ -135,7 +135,7 @@
 		    answer->error, exchange->id);
 		return;
 	}
-	kwb_metric_add(KWB_METRIC_RAN, 1);
+	kwb_metric_add(KWB_METRIC_REQUESTS_RAN, 1);
 	snprintf(headers, sizeof(headers),
 	    "X-Kwb-Outcome: ran\r\nX-Kwb-Request: %s\r\n", exchange->id);
 	http_send(exchange->connection, (int)answer->status,
--- a/src/entry/http_completion.c
+++ b/src/entry/http_completion.c
@@ -117,13 +117,13 @@
 		    "data: {\"finish\":\"stop\"}\n\ndata: [DONE]\n\n";
 
 		mg_send_chunk(connection, end, sizeof(end) - 1);
-		kwb_metric_add(KWB_METRIC_RAN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_RAN, 1);
 	} else {
 		static const char end[] = "data: {\"error\":\"deadline\","
 					  "\"outcome\":\"unknown\"}\n\n";
 
 		mg_send_chunk(connection, end, sizeof(end) - 1);
-		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_UNKNOWN, 1);
 	}
 	mg_send_chunk(connection, "", 0);
 }
@@ -215,7 +215,7 @@
 	    "X-Kwb-Outcome: ran\r\nX-Kwb-Request: %s\r\n", exchange->id);
 	http_send(exchange->connection, 200, "application/json", headers, text,
 	    strlen(text));
-	kwb_metric_add(KWB_METRIC_RAN, 1);
+	kwb_metric_add(KWB_METRIC_REQUESTS_RAN, 1);
 	free(text);
 	json_decref(root);
 }
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -22,7 +22,7 @@
 	    "left_ms=%llu",
 	    event, forward->request.id, forward->service,
 	    upstream ? upstream->status.id : "-", reason, forward->sent_count,
-	    (unsigned long long)kwb_clock_left_ms(forward->deadline_ns));
+	    (unsigned long long)kwb_clock_remaining_ms(forward->deadline_ns));
 }
 
 static void
@@ -84,7 +84,8 @@
 	return forward->idempotent &&
 	    (!forward->head_sent || forward->resumes) &&
 	    forward->sent_count < forward->max_attempts &&
-	    kwb_clock_left_ms(forward->deadline_ns) > KWB_FORWARD_RETRY_MIN_MS;
+	    kwb_clock_remaining_ms(forward->deadline_ns) >
+	    KWB_FORWARD_RETRY_MIN_MS;
 }
 
 /* Tries later to pick a second upstream; the first one is still working. */
@@ -168,7 +169,7 @@
 		attempt_failed(attempt, false, "no_receipt");
 		return;
 	}
-	kwb_histogram_add(
+	kwb_histogram_observe(
 	    KWB_HISTOGRAM_UPSTREAM, kwb_clock_now_ns() - attempt->started_ns);
 	if (answer.status < 500)
 		kwb_upstream_record_pace(
--- a/src/limit/share_keeper.c
+++ b/src/limit/share_keeper.c
@@ -229,7 +229,7 @@
 		row = json_pack("{s:{}}", "members");
 	kwb_buf_finish(&value);
 	if (row == NULL)
-		return KWB_ERR_PLATFORM_DOWN;
+		return KWB_ERR_PLATFORM_UNREACHABLE;
 	json_decref(keeper->row);
 	keeper->row = row;
 	keeper->row_revision = revision;
--- a/src/lists/store.c
+++ b/src/lists/store.c
@@ -80,7 +80,7 @@
 
 	for (tries = 0; tries < APPLY_TRIES; tries++) {
 		error = apply_once(platform, ours, revision, conflicts, faults);
-		if (error != KWB_ERR_PLATFORM_DOWN &&
+		if (error != KWB_ERR_PLATFORM_UNREACHABLE &&
 		    error != KWB_ERR_PLATFORM_CONFLICT)
 			break;
 		kwb_clock_sleep_ns(RETRY_DELAY_NS);
--- a/src/member/lease.c
+++ b/src/member/lease.c
@@ -106,7 +106,7 @@
 	    sscanf(kwb_buf_text(&value),
 		"%63s %" SCNu64 " %" SCNu64 " %" SCNu64, row->holder,
 		&row->incarnation, &row->token, &row->renewals) != 4)
-		error = KWB_ERR_PLATFORM_DOWN;
+		error = KWB_ERR_PLATFORM_UNREACHABLE;
 	kwb_buf_finish(&value);
 	return error;
 }
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -78,7 +78,7 @@
     const char *model, struct target *target)
 {
 	struct peers *peers = &entry->peers;
-	int i, error = KWB_ERR_ROUTE_NONE;
+	int i, error = KWB_ERR_ROUTE_NO_UPSTREAM;
 
 	target->peer_index = -1;
 	pthread_mutex_lock(&peers->lock);
--- a/src/node/answer.c
+++ b/src/node/answer.c
@@ -50,7 +50,7 @@
 
 	if (caller->port != CALLER_PORT_REQUESTS)
 		return;
-	kwb_histogram_add(KWB_HISTOGRAM_CALLER, elapsed_ns);
+	kwb_histogram_observe(KWB_HISTOGRAM_CALLER, elapsed_ns);
 	kwb_log(KWB_LOG_INFO, "caller",
 	    "event=answered id=%s batch=%s route=%s status=%u reason=%s "
 	    "upstream=%s config=%llu taken_ms=%llu",
--- a/src/node/serve.c
+++ b/src/node/serve.c
@@ -23,19 +23,19 @@
 	}
 	switch (forward->outcome) {
 	case KWB_FORWARD_ANSWERED:
-		kwb_metric_add(KWB_METRIC_RAN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_RAN, 1);
 		answer_from_upstream(caller, &forward->answer);
 		return;
 	case KWB_FORWARD_NOT_RUN:
-		kwb_metric_add(KWB_METRIC_NOT_RUN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_NOT_RUN, 1);
 		answer_error(caller, 503, forward->reason);
 		return;
 	case KWB_FORWARD_TIMEOUT:
-		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_UNKNOWN, 1);
 		answer_error(caller, 504, forward->reason);
 		return;
 	case KWB_FORWARD_UNKNOWN:
-		kwb_metric_add(KWB_METRIC_UNKNOWN, 1);
+		kwb_metric_add(KWB_METRIC_REQUESTS_UNKNOWN, 1);
 		answer_error(caller, 502, forward->reason);
 		return;
 	}
--- a/src/peer/detour.c
+++ b/src/peer/detour.c
@@ -39,7 +39,7 @@
 		    (unsigned long long)((kwb_clock_now_ns() -
 					     store->direct_answer_ns) /
 			KWB_MS_NS));
-		kwb_metric_add(KWB_METRIC_DETOURS, 1);
+		kwb_metric_add(KWB_METRIC_STORE_DETOURS, 1);
 	} else if (store->relay != NULL) {
 		kwb_log(KWB_LOG_INFO, "detour", "event=own_path peer=%s",
 		    detour->peer.node);
--- a/src/platform/http.c
+++ b/src/platform/http.c
@@ -78,7 +78,7 @@
 		answer->sent = connect_s > 0;
 	}
 	curl_slist_free_all(headers);
-	return code == CURLE_OK ? 0 : KWB_ERR_PLATFORM_DOWN;
+	return code == CURLE_OK ? 0 : KWB_ERR_PLATFORM_UNREACHABLE;
 }
 
 void
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -73,7 +73,7 @@
 	    value, length_bytes, &answer);
 	*revision = answer.revision;
 	/* No answer, or a refusal that our own lost write may have caused. */
-	if ((error == KWB_ERR_PLATFORM_DOWN && answer.sent) ||
+	if ((error == KWB_ERR_PLATFORM_UNREACHABLE && answer.sent) ||
 	    error == KWB_ERR_PLATFORM_CONFLICT) {
 		if (put_settled(platform, key, value, length_bytes, revision) ==
 		    0)
@@ -149,7 +149,7 @@
 		return error;
 	if (!json_is_array(root)) {
 		json_decref(root);
-		return KWB_ERR_PLATFORM_DOWN;
+		return KWB_ERR_PLATFORM_UNREACHABLE;
 	}
 	vms->count = 0;
 	json_array_foreach (root, i, item) {
@@ -223,7 +223,7 @@
 		return KWB_ERR_PLATFORM_MISSING;
 	if (status == 412)
 		return KWB_ERR_PLATFORM_CONFLICT;
-	return KWB_ERR_PLATFORM_DOWN;
+	return KWB_ERR_PLATFORM_UNREACHABLE;
 }
 
 /*
--- a/src/rollout/step.c
+++ b/src/rollout/step.c
@@ -141,7 +141,7 @@
 			error =
 			    generation_start(step->entry, &sample->generation);
 			if (error == KWB_ERR_ROUTE_FULL ||
-			    error == KWB_ERR_ROUTE_NONE)
+			    error == KWB_ERR_ROUTE_NO_UPSTREAM)
 				return;
 		}
 	}
@@ -215,7 +215,7 @@
 	}
 	step->stale_count++;
 	step->wasted_tokens += generation->tokens.count;
-	kwb_metric_add(KWB_METRIC_STALE, 1);
+	kwb_metric_add(KWB_METRIC_SAMPLES_STALE, 1);
 	kwb_metric_add(KWB_METRIC_TOKENS_WASTED, generation->tokens.count);
 	kwb_log(KWB_LOG_INFO, "rollout",
 	    "event=made_again key=%s oldest=%" PRIu64 " trainer=%" PRIu64
@@ -297,7 +297,7 @@
 	sample->delivered = true;
 	step->remaining--;
 	step->delivered_count++;
-	kwb_metric_add(KWB_METRIC_SAMPLES, 1);
+	kwb_metric_add(KWB_METRIC_SAMPLES_DELIVERED, 1);
 }
 
 /*
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -31,7 +31,8 @@
 kwb_route_pick(const struct kwb_route_query *query,
     const struct kwb_candidate *candidates, unsigned count)
 {
-	struct kwb_choice choice = {-1, KWB_ERR_ROUTE_NONE, "none_usable"};
+	struct kwb_choice choice = {
+	    -1, KWB_ERR_ROUTE_NO_UPSTREAM, "none_usable"};
 	unsigned i, available = 0;
 
 	for (i = 0; i < count; i++) {
--- a/src/store/again.c
+++ b/src/store/again.c
@@ -59,6 +59,6 @@
 		return false;
 	/* The error may stem from another copy that has taken effect. */
 	if (policy == KWB_RESEND_WRITE)
-		*error = KWB_ERR_STORE_UNKNOWN;
+		*error = KWB_ERR_STORE_NO_ANSWER;
 	return true;
 }
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -176,7 +176,7 @@
 		follower_fetch(follower);
 		return;
 	}
-	if (answer->error == KWB_ERR_STORE_HISTORY) {
+	if (answer->error == KWB_ERR_STORE_HISTORY_GONE) {
 		kwb_log(KWB_LOG_INFO, "follow",
 		    "event=read_again table=%s revision=%llu reason=%s",
 		    follower->table, (unsigned long long)follower->revision,
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -27,7 +27,7 @@
 kwb_store_has_answered(const struct kwb_store_answer *answer)
 {
 	return answer->error != KWB_ERR_STORE_REFUSED &&
-	    answer->error != KWB_ERR_STORE_UNKNOWN;
+	    answer->error != KWB_ERR_STORE_NO_ANSWER;
 }
 
 void
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -39,7 +39,7 @@
 watchdog_on_timer(int fd, short what, void *context)
 {
 	static const struct kwb_store_answer unanswered = {
-	    .error = KWB_ERR_STORE_UNKNOWN};
+	    .error = KWB_ERR_STORE_NO_ANSWER};
 	struct kwb_store_watchdog *watchdog = context;
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t silence_ns = now_ns - watchdog->store->last_answer_ns;
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -173,7 +173,7 @@
 	    (unsigned long long)kwb_upstream_version(upstream, replica->model),
 	    (unsigned long long)order.fence,
 	    (unsigned long long)order.expect_order_seq);
-	kwb_metric_add(KWB_METRIC_SWAPS, 1);
+	kwb_metric_add(KWB_METRIC_WEIGHT_SWAPS, 1);
 	replica->target_version = version;
 	replica->order_pending = true;
 	out = evbuffer_new();
--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -105,7 +105,7 @@
 	error = fence_read(agent, fence);
 	reply->fencing_token = fence->token;
 	if (error == 0 && wanted->fencing_token < fence->token) {
-		kwb_metric_add(KWB_METRIC_FENCED, 1);
+		kwb_metric_add(KWB_METRIC_REFUSED_FENCED, 1);
 		error = KWB_ERR_CALL_FENCED;
 	}
 	if (error == 0) {
@@ -118,8 +118,9 @@
 	upstream_find_model(agent, wanted->model, &state);
 	if (error == 0 && state.version < wanted->version) {
 		error = engine_swap(agent, wanted);
-		kwb_metric_add(
-		    error ? KWB_METRIC_SWAP_FAILURES : KWB_METRIC_SWAPS, 1);
+		kwb_metric_add(error ? KWB_METRIC_WEIGHT_SWAP_FAILURES
+				     : KWB_METRIC_WEIGHT_SWAPS,
+		    1);
 		upstream_poll(agent);
 		upstream_find_model(agent, wanted->model, &state);
 	}
@@ -156,7 +157,7 @@
 	snprintf(name, sizeof(name), "leases/weights/%s/%s", fence->plan,
 	    agent->settings->failure_domain);
 	if (kwb_lease_read_token(&agent->platform, name, &token) != 0)
-		return KWB_ERR_WEIGHTS_UNKNOWN;
+		return KWB_ERR_WEIGHTS_FENCE_UNKNOWN;
 	fence->known = true;
 	fence->token = token;
 	return 0;
--- a/tests/contract.c
+++ b/tests/contract.c
@@ -230,7 +230,8 @@
 		answer = client_await(
 		    &client, KWB__WIRE__FRAME__BODY_ORDER_REPLY, 1, ANSWER_MS);
 		check(answer != NULL &&
-			answer->order_reply->error == KWB_ERR_WEIGHTS_UNKNOWN,
+			answer->order_reply->error ==
+			    KWB_ERR_WEIGHTS_FENCE_UNKNOWN,
 		    "a fresh agent takes no order before it knows the token",
 		    "");
 		kwb_frame_free(answer);
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1148,21 +1148,21 @@
 		bool ends;
 		int told;
 	} ends[] = {
-	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_UNKNOWN,
-		true, KWB_ERR_STORE_UNKNOWN},
+	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_NO_ANSWER,
+		true, KWB_ERR_STORE_NO_ANSWER},
 	    {"one write conflicts", KWB_RESEND_WRITE, 1, 0,
 		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_CONFLICT},
 	    {"done", KWB_RESEND_WRITE, 2, 1, 0, true, 0},
 	    {"a copy conflicts", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_CONFLICT,
-		true, KWB_ERR_STORE_UNKNOWN},
+		true, KWB_ERR_STORE_NO_ANSWER},
 	    {"a copy is refused", KWB_RESEND_WRITE, 2, 1, KWB_ERR_STORE_REFUSED,
 		false, KWB_ERR_STORE_REFUSED},
 	    {"the last is refused", KWB_RESEND_WRITE, 2, 0,
-		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_UNKNOWN},
+		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_NO_ANSWER},
 	    {"nothing to read", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_MISSING,
 		true, KWB_ERR_STORE_MISSING},
-	    {"a read is cut off", KWB_RESEND_READ, 2, 1, KWB_ERR_STORE_UNKNOWN,
-		false, KWB_ERR_STORE_UNKNOWN},
+	    {"a read is cut off", KWB_RESEND_READ, 2, 1,
+		KWB_ERR_STORE_NO_ANSWER, false, KWB_ERR_STORE_NO_ANSWER},
 	};
 	unsigned i;
 
--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -787,7 +787,7 @@
 run_detours(struct script *script)
 {
 	kwb_buf_printf(&script->out, "%llu\n",
-	    (unsigned long long)kwb_metric_get(KWB_METRIC_DETOURS));
+	    (unsigned long long)kwb_metric_get(KWB_METRIC_STORE_DETOURS));
 }
 
 static void
@@ -1155,7 +1155,7 @@
 		return false;
 	}
 	memset(&script, 0, sizeof(script));
-	kwb_metric_set(KWB_METRIC_DETOURS, 0);
+	kwb_metric_set(KWB_METRIC_STORE_DETOURS, 0);
 	if (ftruncate(STDERR_FILENO, 0) == 0)
 		lseek(STDERR_FILENO, 0, SEEK_SET);
 	kwb_buf_init(&played);
--- a/tests/session_faults.c
+++ b/tests/session_faults.c
@@ -257,7 +257,8 @@
 
 	/* Nobody can write a share while the platform is out. */
 	if (!session->platform_out)
-		vm_lost_judge(session, (uint32_t)kwb_clock_left_ms(due_ns));
+		vm_lost_judge(
+		    session, (uint32_t)kwb_clock_remaining_ms(due_ns));
 	kill_engine_go(session, index);
 	kill_llm_go(session, index);
 	listed_gone_go(session, index);
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -30,14 +30,14 @@
 		int error;
 	} cases[] = {
 	    {"none usable", {.exclude = -1}, {{.vm = "a"}}, -1,
-		KWB_ERR_ROUTE_NONE},
+		KWB_ERR_ROUTE_NO_UPSTREAM},
 	    {"weights too old", {.exclude = -1, .min_version = 5},
 		{{.vm = "a",
 		    .usable = true,
 		    .version = 4,
 		    .units = 1,
 		    .slots = 1}},
-		-1, KWB_ERR_ROUTE_NONE},
+		-1, KWB_ERR_ROUTE_NO_UPSTREAM},
 	    {"share used up", {.exclude = -1},
 		{{.vm = "a",
 		    .usable = true,
@@ -668,7 +668,7 @@
 
 	dup2(fd, STDOUT_FILENO);
 	kwb_log_init("burst", KWB_LOG_INFO);
-	kwb_log_buffer();
+	kwb_log_enable_buffering();
 	for (i = 0; i < lines; i++)
 		kwb_log(i % 2 ? KWB_LOG_INFO : KWB_LOG_WARN, "burst",
 		    "event=line number=%u", i);
