--- a/src/core/metrics.c
+++ b/src/core/metrics.c
@@ -5,7 +5,7 @@
 
 #include "kwb.h"
 
-static const char *const metric_names[KWB_METRIC_COUNT] = {
+static const char *const names[KWB_METRIC_COUNT] = {
     [KWB_METRIC_REQUESTS_RAN] = "kwb_requests_ran_total",
     [KWB_METRIC_REQUESTS_NOT_RUN] = "kwb_requests_not_run_total",
     [KWB_METRIC_REQUESTS_UNKNOWN] = "kwb_requests_unknown_total",
@@ -108,9 +108,9 @@
 	unsigned i;
 
 	for (i = 0; i < KWB_METRIC_COUNT; i++)
-		kwb_buf_printf(out, "# TYPE %s %s\n%s %llu\n", metric_names[i],
+		kwb_buf_printf(out, "# TYPE %s %s\n%s %llu\n", names[i],
 		    i == KWB_METRIC_LISTS_REVISION ? "gauge" : "counter",
-		    metric_names[i], (unsigned long long)kwb_metric_get(i));
+		    names[i], (unsigned long long)kwb_metric_get(i));
 	for (i = 0; i < KWB_HISTOGRAM_COUNT; i++)
 		histogram_print(i, out);
 }
