--- a/src/core/log.c
+++ b/src/core/log.c
@@ -27,13 +27,13 @@
 	log_min_level = min_level;
 }
 
-static bool is_buffered;
+static bool buffered;
 static char buffer[KWB_LOG_BUFFER_BYTES];
 static size_t buffer_bytes;
-static uint64_t dropped_lines;
-static uint64_t current_second_ms;
-static uint32_t lines_in_second;
-static uint32_t warnings_in_second;
+static uint64_t dropped;
+static uint64_t second_ms;
+static uint32_t second_lines;
+static uint32_t second_warnings;
 
 void
 kwb_log_enable_buffering(void)
@@ -42,7 +42,7 @@
 
 	if (flags >= 0)
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
-	is_buffered = true;
+	buffered = true;
 }
 
 void
@@ -65,23 +65,23 @@
 static bool
 line_is_allowed(enum kwb_log_level level, uint64_t wall_ms)
 {
-	if (wall_ms / 1000 != current_second_ms / 1000) {
-		current_second_ms = wall_ms;
-		lines_in_second = 0;
-		warnings_in_second = 0;
-		if (dropped_lines > 0) {
-			uint64_t count = dropped_lines;
+	if (wall_ms / 1000 != second_ms / 1000) {
+		second_ms = wall_ms;
+		second_lines = 0;
+		second_warnings = 0;
+		if (dropped > 0) {
+			uint64_t count = dropped;
 
-			dropped_lines = 0;
+			dropped = 0;
 			kwb_log(KWB_LOG_WARN, "log",
 			    "event=lines_dropped count=%llu",
 			    (unsigned long long)count);
 		}
 	}
 	/* Apart, so that usual lines never push a warning out. */
-	if ((level < KWB_LOG_WARN ? ++lines_in_second : ++warnings_in_second) >
+	if ((level < KWB_LOG_WARN ? ++second_lines : ++second_warnings) >
 	    KWB_LOG_LINES_PER_S) {
-		dropped_lines++;
+		dropped++;
 		return false;
 	}
 	return true;
@@ -93,7 +93,7 @@
 	if (buffer_bytes + length_bytes > sizeof(buffer))
 		kwb_log_flush();
 	if (buffer_bytes + length_bytes > sizeof(buffer)) {
-		dropped_lines++;
+		dropped++;
 		return;
 	}
 	memcpy(buffer + buffer_bytes, line, length_bytes);
@@ -110,7 +110,7 @@
 	va_list args;
 
 	if (level < log_min_level ||
-	    (is_buffered && !line_is_allowed(level, wall_ms)))
+	    (buffered && !line_is_allowed(level, wall_ms)))
 		return;
 	length = snprintf(line, sizeof(line),
 	    "%s: time_ms=%llu level=%s process=%s ", module,
@@ -125,7 +125,7 @@
 	if (used_bytes > sizeof(line) - 2)
 		used_bytes = sizeof(line) - 2;
 	line[used_bytes++] = '\n';
-	if (is_buffered) {
+	if (buffered) {
 		line_buffer(line, used_bytes);
 		return;
 	}
--- a/src/core/metrics.c
+++ b/src/core/metrics.c
@@ -26,32 +26,30 @@
     [KWB_METRIC_RELAYED_BYTES] = "kwb_relayed_bytes_total",
     [KWB_METRIC_LISTS_REVISION] = "kwb_lists_revision",
 };
-static _Atomic uint64_t metric_values[KWB_METRIC_COUNT];
+static _Atomic uint64_t values[KWB_METRIC_COUNT];
 
 void
 kwb_metric_add(enum kwb_metric metric, uint64_t amount)
 {
 	atomic_fetch_add_explicit(
-	    &metric_values[metric], amount, memory_order_relaxed);
+	    &values[metric], amount, memory_order_relaxed);
 }
 
 void
 kwb_metric_set(enum kwb_metric metric, uint64_t value)
 {
-	atomic_store_explicit(
-	    &metric_values[metric], value, memory_order_relaxed);
+	atomic_store_explicit(&values[metric], value, memory_order_relaxed);
 }
 
 uint64_t
 kwb_metric_get(enum kwb_metric metric)
 {
-	return atomic_load_explicit(
-	    &metric_values[metric], memory_order_relaxed);
+	return atomic_load_explicit(&values[metric], memory_order_relaxed);
 }
 
 #define BOUNDED_BUCKETS 12
 
-/* Upper bounds of the bucket_counts, in milliseconds; the last has none. */
+/* Upper bounds of the buckets, in milliseconds; the last has none. */
 static const uint32_t bucket_bounds_ms[BOUNDED_BUCKETS] = {
     5, 10, 25, 50, 100, 150, 250, 500, 1000, 2500, 5000, 10000};
 static const char *const histogram_names[KWB_HISTOGRAM_COUNT] = {
@@ -60,8 +58,8 @@
     [KWB_HISTOGRAM_ITEM] = "kwb_item_seconds",
     [KWB_HISTOGRAM_STORE] = "kwb_store_seconds",
 };
-static _Atomic uint64_t bucket_counts[KWB_HISTOGRAM_COUNT][BOUNDED_BUCKETS + 1];
-static _Atomic uint64_t latency_sums_ns[KWB_HISTOGRAM_COUNT];
+static _Atomic uint64_t buckets[KWB_HISTOGRAM_COUNT][BOUNDED_BUCKETS + 1];
+static _Atomic uint64_t sums_ns[KWB_HISTOGRAM_COUNT];
 
 void
 kwb_histogram_observe(enum kwb_histogram histogram, uint64_t latency_ns)
@@ -72,9 +70,9 @@
 		if (latency_ns <= bucket_bounds_ms[i] * KWB_MS_NS)
 			break;
 	atomic_fetch_add_explicit(
-	    &bucket_counts[histogram][i], 1, memory_order_relaxed);
+	    &buckets[histogram][i], 1, memory_order_relaxed);
 	atomic_fetch_add_explicit(
-	    &latency_sums_ns[histogram], latency_ns, memory_order_relaxed);
+	    &sums_ns[histogram], latency_ns, memory_order_relaxed);
 }
 
 static void
@@ -87,17 +85,17 @@
 	kwb_buf_printf(out, "# TYPE %s histogram\n", name);
 	for (i = 0; i < BOUNDED_BUCKETS; i++) {
 		count += atomic_load_explicit(
-		    &bucket_counts[histogram][i], memory_order_relaxed);
+		    &buckets[histogram][i], memory_order_relaxed);
 		kwb_buf_printf(out, "%s_bucket{le=\"%.3f\"} %llu\n", name,
 		    bucket_bounds_ms[i] / 1000.0, (unsigned long long)count);
 	}
 	count += atomic_load_explicit(
-	    &bucket_counts[histogram][BOUNDED_BUCKETS], memory_order_relaxed);
+	    &buckets[histogram][BOUNDED_BUCKETS], memory_order_relaxed);
 	kwb_buf_printf(out,
 	    "%s_bucket{le=\"+Inf\"} %llu\n%s_sum %.3f\n%s_count %llu\n", name,
 	    (unsigned long long)count, name,
 	    (double)atomic_load_explicit(
-		&latency_sums_ns[histogram], memory_order_relaxed) /
+		&sums_ns[histogram], memory_order_relaxed) /
 		1e9,
 	    name, (unsigned long long)count);
 }
