--- a/include/kwb.h
+++ b/include/kwb.h
@@ -1,9 +1,9 @@
 /*
- * knapweedbarrow: the whole API of libkwb, section by section.
+ * knapweedbarrow: the API of libkwb, section by section.
  *
  * Conventions: functions that can fail return 0 or a negative KWB_ERR_ number;
  * init/finish and load/unload are pairs on memory the caller owns; deadlines
- * are monotonic nanoseconds; units stand in names.
+ * are nanoseconds of kwb_clock_now_ns(); units stand in names.
  */
 #ifndef KWB_H
 #define KWB_H
@@ -15,216 +15,274 @@
 #include <stdint.h>
 #include <stdio.h>
 
-#define KWB_MS_NS 1000000ull
+#define KWB_MS_NS 1000000ull /* nanoseconds in a millisecond */
 
 #include "kwb_config.h"
 
 /* ---- Errors ---------------------------------------------------------- */
 
+/*
+ * Error numbers of all sections. Those of refused and failed requests are sent
+ * to peers, so a number never changes its meaning.
+ */
 enum {
-	KWB_ERR_MEMORY = -1,
-	KWB_ERR_ARGUMENT = -2,
-	KWB_ERR_SETTINGS = -3,
-	KWB_ERR_SYSTEM = -4,
-	KWB_ERR_WIRE_FRAME = -100,
-	KWB_ERR_WIRE_SIZE = -101,
-	KWB_ERR_WIRE_CLOSED = -102,
-	KWB_ERR_NET_CONNECT = -120,	/* no connection: nothing was sent */
-	KWB_ERR_NET_STALE = -121,	/* a kept connection was closed */
-	KWB_ERR_NET_CLOSED = -122,	/* the peer closed before the end */
-	KWB_ERR_NET_RESET = -123,	/* the peer reset the connection */
-	KWB_ERR_NET_TIMEOUT = -124,	/* no answer in time, or silence */
-	KWB_ERR_NET_MALFORMED = -125,	/* not HTTP */
-	KWB_ERR_NET_HEAD_SIZE = -126,	/* head over its limit */
-	KWB_ERR_NET_BODY_SIZE = -127,	/* body over its limit */
-	KWB_ERR_STORE_CONFLICT = -150,	/* a condition did not hold */
-	KWB_ERR_STORE_REFUSED = -151,	/* nothing was done */
-	KWB_ERR_STORE_NO_ANSWER = -152, /* no answer: may be done, or later */
-	KWB_ERR_STORE_HISTORY_GONE = -153, /* the feed's history is gone */
-	KWB_ERR_STORE_MISSING = -154,	   /* no such object */
-	KWB_ERR_STORE_UNREADABLE = -155,   /* a row that can't be read */
-	KWB_ERR_PLATFORM_UNREACHABLE = -200,
-	KWB_ERR_PLATFORM_CONFLICT = -201,
-	KWB_ERR_PLATFORM_MISSING = -202,
-	KWB_ERR_LISTS_INVALID = -300,
-	KWB_ERR_LISTS_CONFLICT = -301,
-	KWB_ERR_LISTS_NONE = -302,
-	KWB_ERR_ROUTE_NO_UPSTREAM = -400,
-	KWB_ERR_ROUTE_FULL = -401,
-	KWB_ERR_CALL_BUSY = -500,
-	KWB_ERR_CALL_LEAVING = -501,
-	KWB_ERR_CALL_STALE_LISTS = -502,
-	KWB_ERR_CALL_INCARNATION = -503,
-	KWB_ERR_CALL_FENCED = -504,
-	KWB_ERR_CALL_BARRED = -505,
-	KWB_ERR_CALL_DEADLINE = -506,
-	KWB_ERR_CALL_UPSTREAM = -507,
-	KWB_ERR_CALL_OLD_WEIGHTS = -508,
-	KWB_ERR_CALL_CANCELLED = -509,
-	KWB_ERR_CALL_FORGOTTEN = -510,
-	KWB_ERR_WEIGHTS_FENCE_UNKNOWN = -600,
-	KWB_ERR_WEIGHTS_SWAP = -601
-};
-
-const char *kwb_error_name(int error); /* short name of an error number */
+	KWB_ERR_MEMORY = -1,	    /* an allocation failed */
+	KWB_ERR_ARGUMENT = -2,	    /* an invalid argument or text */
+	KWB_ERR_SETTINGS = -3,	    /* a settings file with faults */
+	KWB_ERR_SYSTEM = -4,	    /* a system call failed */
+	KWB_ERR_WIRE_FRAME = -100,  /* a frame that can't be decoded */
+	KWB_ERR_WIRE_SIZE = -101,   /* a frame or queue over its limit */
+	KWB_ERR_WIRE_CLOSED = -102, /* the link to the peer is closed */
+	KWB_ERR_NET_CONNECT = -120, /* no connection: nothing was sent */
+	KWB_ERR_NET_STALE = -121,   /* a reused connection closed unanswered */
+	KWB_ERR_NET_CLOSED = -122,  /* the peer closed before the end */
+	KWB_ERR_NET_RESET = -123,   /* the peer reset the connection */
+	KWB_ERR_NET_TIMEOUT = -124, /* no answer, or no more of it, in time */
+	KWB_ERR_NET_MALFORMED = -125,	     /* not HTTP */
+	KWB_ERR_NET_HEAD_SIZE = -126,	     /* head over its limit */
+	KWB_ERR_NET_BODY_SIZE = -127,	     /* body over its limit */
+	KWB_ERR_STORE_CONFLICT = -150,	     /* a condition did not hold */
+	KWB_ERR_STORE_REFUSED = -151,	     /* nothing was done */
+	KWB_ERR_STORE_NO_ANSWER = -152,	     /* may take effect, now or later */
+	KWB_ERR_STORE_HISTORY_GONE = -153,   /* changes that are not kept */
+	KWB_ERR_STORE_MISSING = -154,	     /* no such object */
+	KWB_ERR_STORE_UNREADABLE = -155,     /* a row that can't be read */
+	KWB_ERR_PLATFORM_UNREACHABLE = -200, /* no valid answer */
+	KWB_ERR_PLATFORM_CONFLICT = -201,    /* the row has another revision */
+	KWB_ERR_PLATFORM_MISSING = -202,     /* no such row */
+	KWB_ERR_LISTS_INVALID = -300,	     /* lists with faults */
+	KWB_ERR_LISTS_CONFLICT = -301,	     /* edits that can't be merged */
+	KWB_ERR_LISTS_NONE = -302, /* no lists yet, or older than needed */
+	KWB_ERR_ROUTE_NO_UPSTREAM = -400, /* none can serve the request */
+	KWB_ERR_ROUTE_FULL = -401,	  /* all that could serve it are full */
+	KWB_ERR_CALL_BUSY = -500,	  /* the agent has no capacity for it */
+	KWB_ERR_CALL_LEAVING = -501,	  /* the agent is shutting down */
+	KWB_ERR_CALL_STALE_LISTS = -502,  /* sent under outdated lists */
+	KWB_ERR_CALL_INCARNATION = -503,  /* the agent has restarted */
+	KWB_ERR_CALL_FENCED = -504,	 /* a newer attempt or token is known */
+	KWB_ERR_CALL_BARRED = -505,	 /* its key was reported as not run */
+	KWB_ERR_CALL_DEADLINE = -506,	 /* not started by its deadline */
+	KWB_ERR_CALL_UPSTREAM = -507,	 /* the upstream failed */
+	KWB_ERR_CALL_OLD_WEIGHTS = -508, /* below the version it needs */
+	KWB_ERR_CALL_CANCELLED = -509,	 /* cancelled by the sender */
+	KWB_ERR_CALL_FORGOTTEN = -510,	 /* key too old to know if it ran */
+	KWB_ERR_WEIGHTS_FENCE_UNKNOWN = -600, /* its token can't be read */
+	KWB_ERR_WEIGHTS_SWAP = -601 /* the engine did not load the weights */
+};
+
+/* Short name of an error number; "ok" for 0. */
+const char *kwb_error_name(int error);
 
 /* ---- Command line ---------------------------------------------------- */
 
+/*
+ * Prints a bash command that completes the long options and the words of a
+ * program. The options end with an entry without a name, the words with NULL.
+ */
 void kwb_completion_print(FILE *out, const char *program,
-    const struct option *options,
-    const char *const *words); /* for bash; words end with NULL */
+    const struct option *options, const char *const *words);
 
 /* ---- Clock ----------------------------------------------------------- */
 
-uint64_t kwb_clock_now_ns(void);  /* monotonic time */
-uint64_t kwb_clock_wall_ms(void); /* wall-clock time since the epoch */
-uint64_t kwb_clock_remaining_ms(
-    uint64_t deadline_ns);		     /* time left, 0 if past */
-void kwb_clock_sleep_ns(uint64_t length_ns); /* sleep this thread */
-void kwb_cond_init(pthread_cond_t *cond);    /* condition on monotonic time */
-void kwb_cond_wait_until(pthread_cond_t *cond, pthread_mutex_t *lock,
-    uint64_t deadline_ns); /* wait for a signal or the deadline */
+/* Nanoseconds of the monotonic clock, which all deadlines use. */
+uint64_t kwb_clock_now_ns(void);
+/* Wall-clock milliseconds since the epoch, for times that leave the process. */
+uint64_t kwb_clock_wall_ms(void);
+/* Whole milliseconds until a deadline; 0 if it has passed. */
+uint64_t kwb_clock_remaining_ms(uint64_t deadline_ns);
+/* Suspends the thread; a signal may end it early. */
+void kwb_clock_sleep_ns(uint64_t length_ns);
+/* Makes a condition variable for kwb_cond_wait_until(). */
+void kwb_cond_init(pthread_cond_t *cond);
+/* Waits for a signal or the deadline; may also return earlier. */
+void kwb_cond_wait_until(
+    pthread_cond_t *cond, pthread_mutex_t *lock, uint64_t deadline_ns);
 
 /* ---- Log ------------------------------------------------------------- */
 
+/*
+ * One line for each event: the module, then key=value fields. Lines go to
+ * standard error, or through a buffer to standard output.
+ */
+
 enum kwb_log_level { KWB_LOG_DEBUG, KWB_LOG_INFO, KWB_LOG_WARN, KWB_LOG_ERROR };
 
-void kwb_log_init(const char *process,
-    enum kwb_log_level
-	min_level); /* names the process, sets the min_level level */
+/* Sets the name in each line and the lowest level that is written. */
+void kwb_log_init(const char *process, enum kwb_log_level min_level);
+/* Writes a line, cut at 1024 bytes; the format begins with event=. */
 void kwb_log(enum kwb_log_level level, const char *module, const char *format,
-    ...) __attribute__((format(printf, 3, 4))); /* one key=value line */
-void kwb_log_enable_buffering(
-    void);		  /* lines go to standard output, never blocking */
-void kwb_log_flush(void); /* writes what is buffered, or drops it */
+    ...) __attribute__((format(printf, 3, 4)));
+/*
+ * Makes standard output non-blocking; lines go there through a buffer. Lines
+ * over KWB_LOG_LINES_PER_S or over a full buffer are dropped and counted. For
+ * processes that log in one thread only; they call kwb_log_flush() regularly.
+ */
+void kwb_log_enable_buffering(void);
+/*
+ * Writes as much of the buffer as is possible without blocking; discards it if
+ * standard output fails.
+ */
+void kwb_log_flush(void);
 
 /* ---- Buffers and text ------------------------------------------------ */
 
+/* A byte buffer that grows as data is added; a NUL follows added data. */
 struct kwb_buf {
-	char *data;
+	char *data; /* NULL while nothing is allocated */
 	size_t used_bytes;
-	size_t capacity_bytes;
-};
-
-void kwb_buf_init(struct kwb_buf *buf);	  /* empty buffer */
-void kwb_buf_finish(struct kwb_buf *buf); /* frees it */
-int kwb_buf_reserve(
-    struct kwb_buf *buf, size_t more_bytes); /* room for more, and a NUL */
-int kwb_buf_add(struct kwb_buf *buf, const void *data,
-    size_t length_bytes); /* appends bytes */
+	size_t capacity_bytes; /* allocated */
+};
+
+/* Makes an empty buffer; allocates nothing. */
+void kwb_buf_init(struct kwb_buf *buf);
+/* Frees the data; the buffer is empty and can be used again. */
+void kwb_buf_finish(struct kwb_buf *buf);
+/* Allocates space for more_bytes and a NUL; KWB_ERR_MEMORY on failure. */
+int kwb_buf_reserve(struct kwb_buf *buf, size_t more_bytes);
+/* Appends bytes; KWB_ERR_MEMORY on failure. */
+int kwb_buf_add(struct kwb_buf *buf, const void *data, size_t length_bytes);
+/* Appends formatted text; KWB_ERR_MEMORY on failure. */
 int kwb_buf_printf(struct kwb_buf *buf, const char *format, ...)
-    __attribute__((format(printf, 2, 3))); /* appends formatted text */
-void kwb_buf_consume(
-    struct kwb_buf *buf, size_t length_bytes); /* takes bytes off the front */
-const char *kwb_buf_text(const struct kwb_buf *buf); /* never NULL */
-void kwb_text_copy(char *to, size_t capacity_bytes,
-    const char *from); /* bounded copy, always ended */
+    __attribute__((format(printf, 2, 3)));
+/* Removes bytes from the front; no NUL follows the rest. */
+void kwb_buf_consume(struct kwb_buf *buf, size_t length_bytes);
+/* The data as a C string; "" for a buffer without data, never NULL. */
+const char *kwb_buf_text(const struct kwb_buf *buf);
+/* Copies a string, cut to fit into capacity_bytes with its NUL. */
+void kwb_text_copy(char *to, size_t capacity_bytes, const char *from);
 
 /* ---- Metrics --------------------------------------------------------- */
 
+/*
+ * Counters, gauges and latency histograms of the process. Any thread may use
+ * them.
+ */
+
 enum kwb_metric {
-	KWB_METRIC_REQUESTS_RAN,
-	KWB_METRIC_REQUESTS_NOT_RUN,
-	KWB_METRIC_REQUESTS_UNKNOWN,
-	KWB_METRIC_RETRIES,
-	KWB_METRIC_HEDGES,
-	KWB_METRIC_RESUMES,
-	KWB_METRIC_SAMPLES_DELIVERED,
-	KWB_METRIC_SAMPLES_STALE,
-	KWB_METRIC_TOKENS,
-	KWB_METRIC_TOKENS_WASTED,
-	KWB_METRIC_REFUSED_FENCED,
-	KWB_METRIC_REFUSED_STALE_LISTS,
-	KWB_METRIC_WEIGHT_SWAPS,
+	KWB_METRIC_REQUESTS_RAN,     /* answered by an upstream */
+	KWB_METRIC_REQUESTS_NOT_RUN, /* refused or failed; not run for certain
+				      */
+	KWB_METRIC_REQUESTS_UNKNOWN, /* failed; may have been run */
+	KWB_METRIC_RETRIES,	     /* further attempts at failed requests */
+	KWB_METRIC_HEDGES,	     /* further attempts while one is slow */
+	KWB_METRIC_RESUMES, /* generations continued from earlier tokens */
+	KWB_METRIC_SAMPLES_DELIVERED, /* sent to trainers */
+	KWB_METRIC_SAMPLES_STALE,     /* discarded: made by weights too old */
+	KWB_METRIC_TOKENS,	      /* received from engines */
+	KWB_METRIC_TOKENS_WASTED,     /* of discarded samples */
+	KWB_METRIC_REFUSED_FENCED, /* requests and orders of an older fence */
+	KWB_METRIC_REFUSED_STALE_LISTS, /* sent under outdated lists */
+	KWB_METRIC_WEIGHT_SWAPS, /* done by an agent, or ordered by a node */
 	KWB_METRIC_WEIGHT_SWAP_FAILURES,
-	KWB_METRIC_LINKS_LOST,
-	KWB_METRIC_CONTROL_BYTES,
-	KWB_METRIC_STORE_DETOURS,
-	KWB_METRIC_RELAYED_BYTES,
-	KWB_METRIC_LISTS_REVISION,
+	KWB_METRIC_LINKS_LOST,	   /* links to peers that were closed */
+	KWB_METRIC_CONTROL_BYTES,  /* sent to peers, apart from requests */
+	KWB_METRIC_STORE_DETOURS,  /* switches to a path through a peer */
+	KWB_METRIC_RELAYED_BYTES,  /* between peers and the store */
+	KWB_METRIC_LISTS_REVISION, /* gauge: lists or config in force */
 	KWB_METRIC_COUNT
 };
 
-void kwb_metric_add(enum kwb_metric metric, uint64_t amount); /* counts up */
-void kwb_metric_set(enum kwb_metric metric, uint64_t value);  /* sets a gauge */
-uint64_t kwb_metric_get(enum kwb_metric metric);	      /* reads one */
+/* Adds to a counter. */
+void kwb_metric_add(enum kwb_metric metric, uint64_t amount);
+/* Sets a gauge. */
+void kwb_metric_set(enum kwb_metric metric, uint64_t value);
+/* Value of a counter or gauge. */
+uint64_t kwb_metric_get(enum kwb_metric metric);
+
 enum kwb_histogram {
 	KWB_HISTOGRAM_CALLER,	/* a caller's request, to its last byte */
-	KWB_HISTOGRAM_UPSTREAM, /* a forwarded try, to its last byte */
+	KWB_HISTOGRAM_UPSTREAM, /* a forwarded attempt, to its last byte */
 	KWB_HISTOGRAM_ITEM,	/* an item, from its submission to its result */
-	KWB_HISTOGRAM_STORE,	/* a call to the store that does not wait */
+	KWB_HISTOGRAM_STORE,	/* a call to the store other than a feed */
 	KWB_HISTOGRAM_COUNT
 };
 
-void kwb_histogram_observe(
-    enum kwb_histogram histogram, uint64_t latency_ns); /* counts a latency */
-void kwb_metrics_print(struct kwb_buf *out); /* text exposition format */
+/* Counts a latency in its bucket. */
+void kwb_histogram_observe(enum kwb_histogram histogram, uint64_t latency_ns);
+/* Appends all metrics in the text format of Prometheus. */
+void kwb_metrics_print(struct kwb_buf *out);
 
 /* ---- Faults in settings and lists ------------------------------------ */
 
+/* What is wrong in a document, one message each, to report them at once. */
 struct kwb_faults {
 	unsigned count;
 	char text[KWB_FAULTS_MAX][KWB_FAULT_MAX_BYTES];
 };
 
+/* Appends a message, cut to its size; ignored after KWB_FAULTS_MAX. */
 void kwb_faults_add(struct kwb_faults *faults, const char *format, ...)
-    __attribute__((
-	format(printf, 2, 3))); /* appends one fault, if there is room */
+    __attribute__((format(printf, 2, 3)));
 
 /* ---- Settings of a process ------------------------------------------- */
 
+/*
+ * Settings of kwb-entry and kwb-agent, each read from a YAML file at the start
+ * of the process. The fields below are keys of the file.
+ */
+
 struct kwb_address {
-	char ip[KWB_NAME_MAX_BYTES];
+	char ip[KWB_NAME_MAX_BYTES]; /* IPv4, as text */
 	uint16_t port;
 };
 
-enum kwb_upstream_kind { KWB_UPSTREAM_ENGINE, KWB_UPSTREAM_SERVICE };
+/* What an agent sends requests to. */
+enum kwb_upstream_kind {
+	KWB_UPSTREAM_ENGINE, /* an inference engine */
+	KWB_UPSTREAM_SERVICE /* an HTTP service without a model */
+};
 
+/* An agent to start with, until the platform has listed the VMs. */
 struct kwb_seed {
-	char vm[KWB_NAME_MAX_BYTES];
-	char address[KWB_NAME_MAX_BYTES];
+	char vm[KWB_NAME_MAX_BYTES];	  /* its name */
+	char address[KWB_NAME_MAX_BYTES]; /* IP:PORT */
 	char failure_domain[KWB_NAME_MAX_BYTES];
 	char pool[KWB_NAME_MAX_BYTES];
 };
 
 struct kwb_entry_settings {
-	char vm[KWB_NAME_MAX_BYTES];
-	char failure_domain[KWB_NAME_MAX_BYTES];
-	char listen[KWB_NAME_MAX_BYTES];
-	char platform[KWB_URL_MAX_BYTES];
-	char policy[KWB_NAME_MAX_BYTES];
-	uint32_t workers;
-	uint32_t subset;
-	uint32_t drain_ms;
+	char vm[KWB_NAME_MAX_BYTES];		 /* name of the VM */
+	char failure_domain[KWB_NAME_MAX_BYTES]; /* that the VM is in */
+	char listen[KWB_NAME_MAX_BYTES];	 /* IP:PORT for callers */
+	char platform[KWB_URL_MAX_BYTES];	 /* URL of the platform */
+	char policy[KWB_NAME_MAX_BYTES]; /* of routing; empty for the default */
+	uint32_t workers;		 /* threads that serve callers */
+	uint32_t subset;   /* agents of a pool that the entry connects to */
+	uint32_t drain_ms; /* for requests in progress when it is stopped */
 	struct kwb_seed *seeds;
 	uint32_t seeds_count;
 };
 
 struct kwb_agent_settings {
-	char vm[KWB_NAME_MAX_BYTES];
-	char failure_domain[KWB_NAME_MAX_BYTES];
-	char listen[KWB_NAME_MAX_BYTES];
-	char platform[KWB_URL_MAX_BYTES];
-	char pool[KWB_NAME_MAX_BYTES];
-	char upstream[KWB_URL_MAX_BYTES];
+	char vm[KWB_NAME_MAX_BYTES];		 /* name of the VM */
+	char failure_domain[KWB_NAME_MAX_BYTES]; /* that the VM is in */
+	char listen[KWB_NAME_MAX_BYTES];	 /* IP:PORT for entries */
+	char platform[KWB_URL_MAX_BYTES];	 /* URL of the platform */
+	char pool[KWB_NAME_MAX_BYTES];	  /* pool that the agent serves */
+	char upstream[KWB_URL_MAX_BYTES]; /* URL of the engine or service */
 	char metrics[KWB_NAME_MAX_BYTES]; /* IP:PORT; empty for none */
 	enum kwb_upstream_kind upstream_kind;
-	bool upstream_fences;
-	uint32_t slots;
-	uint32_t interactive_reserve;
-	uint32_t drain_ms;
+	bool upstream_fences; /* read, but not used */
+	uint32_t slots;	      /* requests that the upstream runs at a time */
+	uint32_t interactive_reserve; /* slots kept for interactive requests */
+	uint32_t drain_ms; /* for requests in progress when it is stopped */
 };
 
+/*
+ * Reads and checks a file. Returns KWB_ERR_SETTINGS, sets *settings to NULL
+ * and appends to faults if the file can't be read or holds invalid values.
+ */
 int kwb_entry_settings_load(struct kwb_entry_settings **settings,
-    const char *path, struct kwb_faults *faults); /* reads and checks a file */
-void kwb_entry_settings_unload(
-    struct kwb_entry_settings *settings); /* frees them */
+    const char *path, struct kwb_faults *faults);
+/* Frees settings; NULL is allowed. */
+void kwb_entry_settings_unload(struct kwb_entry_settings *settings);
+/* Like kwb_entry_settings_load(). */
 int kwb_agent_settings_load(struct kwb_agent_settings **settings,
-    const char *path, struct kwb_faults *faults); /* reads and checks a file */
-void kwb_agent_settings_unload(
-    struct kwb_agent_settings *settings); /* frees them */
-int kwb_address_parse(
-    struct kwb_address *address, const char *text); /* "IP:PORT" */
+    const char *path, struct kwb_faults *faults);
+/* Frees settings; NULL is allowed. */
+void kwb_agent_settings_unload(struct kwb_agent_settings *settings);
+/* Parses "IP:PORT" with an IPv4 address; KWB_ERR_ARGUMENT if it is not one. */
+int kwb_address_parse(struct kwb_address *address, const char *text);
 
 /* ---- The two lists: plans and allowances ------------------------------ */
 
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -9,19 +9,19 @@
 #define KWB_PROTOCOL 1
 
 /* Text and tables */
-#define KWB_NAME_MAX_BYTES 64
-#define KWB_KEY_MAX_BYTES 192
+#define KWB_NAME_MAX_BYTES 64 /* sizes of texts are with the NUL */
+#define KWB_KEY_MAX_BYTES 192 /* a request's key, or a row's in a table */
 #define KWB_URL_MAX_BYTES 256
 #define KWB_PLANS_MAX 64
-#define KWB_RULES_MAX 16
+#define KWB_RULES_MAX 16 /* of one plan */
 #define KWB_MODELS_MAX 16
 #define KWB_VMS_MAX 4096
-#define KWB_PEERS_MAX 512
-#define KWB_LINKS_MAX 1024
+#define KWB_PEERS_MAX 512  /* agents that an entry connects to */
+#define KWB_LINKS_MAX 1024 /* of one event loop */
 #define KWB_SEEDS_MAX 32
-#define KWB_SHARDS 16
-#define KWB_FAULTS_MAX 64
-#define KWB_FAULT_MAX_BYTES 240
+#define KWB_SHARDS 16	  /* parts of a shared table, each with its own lock */
+#define KWB_FAULTS_MAX 64 /* reported for one document */
+#define KWB_FAULT_MAX_BYTES 240 /* one message, with its NUL */
 
 /* Wire */
 #define KWB_FRAME_MAX_BYTES (4u << 20)
@@ -199,9 +199,10 @@
 /* Shortest stop: the load balancer checks the node three times meanwhile. */
 #define KWB_STOP_MIN_NS (3000 * KWB_MS_NS)
 #define KWB_STOP_MARGIN_MS 1200 /* from the end of a stop to SIGKILL */
-#define KWB_LOG_FLUSH_NS (100 * KWB_MS_NS)
-#define KWB_LOG_BUFFER_BYTES 65536
-#define KWB_LOG_LINES_PER_S 400 /* further lines are counted, not written */
+#define KWB_LOG_FLUSH_NS (100 * KWB_MS_NS) /* between flushes of the buffer */
+#define KWB_LOG_BUFFER_BYTES 65536	   /* of lines not yet written */
+/* Of warnings and errors, and of other lines; more are dropped and counted. */
+#define KWB_LOG_LINES_PER_S 400
 
 /* Platform */
 #define KWB_LISTS_POLL_NS (1000 * KWB_MS_NS) /* between reads of the lists */
--- a/src/core/address.c
+++ b/src/core/address.c
@@ -1,5 +1,5 @@
 /*
- * Addresses: an IP number and a port.
+ * Parsing of addresses: IP:PORT with an IPv4 address.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 kwb_address_parse(struct kwb_address *address, const char *text)
 {
 	const char *colon = strrchr(text, ':');
-	struct in_addr in;
+	struct in_addr ipv4;
 	char *end;
 	long port;
 
@@ -22,7 +22,7 @@
 	port = strtol(colon + 1, &end, 10);
 	if (*end != '\0' || port < 1 || port > 65535)
 		return KWB_ERR_ARGUMENT;
-	if (inet_pton(AF_INET, address->ip, &in) != 1)
+	if (inet_pton(AF_INET, address->ip, &ipv4) != 1)
 		return KWB_ERR_ARGUMENT;
 	address->port = (uint16_t)port;
 	return 0;
--- a/src/core/base64.c
+++ b/src/core/base64.c
@@ -1,5 +1,5 @@
 /*
- * Base64 into and out of buffers.
+ * Base64 encoding and decoding.
  */
 #include <nettle/base64.h>
 
--- a/src/core/buf.c
+++ b/src/core/buf.c
@@ -1,5 +1,5 @@
 /*
- * Growable byte buffer and bounded text copy.
+ * Growable byte buffers, and string copies that are cut to fit.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -8,7 +8,7 @@
 
 #include "kwb.h"
 
-#define INITIAL_CAPACITY 256
+#define INITIAL_CAPACITY 256 /* bytes */
 
 void
 kwb_buf_init(struct kwb_buf *buf)
@@ -26,6 +26,7 @@
 int
 kwb_buf_reserve(struct kwb_buf *buf, size_t more_bytes)
 {
+	/* Doubled as needed, for appends of constant amortized cost. */
 	size_t capacity_bytes =
 	    buf->capacity_bytes ? buf->capacity_bytes : INITIAL_CAPACITY;
 	char *data;
--- a/src/core/clock.c
+++ b/src/core/clock.c
@@ -44,7 +44,7 @@
 	nanosleep(&ts, NULL);
 }
 
-/* Condition variables made here wait on the monotonic clock. */
+/* By default, a condition variable waits on the wall clock. */
 void
 kwb_cond_init(pthread_cond_t *cond)
 {
--- a/src/core/completion.c
+++ b/src/core/completion.c
@@ -1,5 +1,5 @@
 /*
- * Completion of a program's commands and options, as a script for bash.
+ * Completion of a program's commands and options in bash.
  */
 #include "kwb.h"
 
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -1,5 +1,5 @@
 /*
- * Error numbers of all layers and their names.
+ * Names of error numbers, as logs and answers show them.
  */
 #include <stddef.h>
 
--- a/src/core/faults.c
+++ b/src/core/faults.c
@@ -1,5 +1,5 @@
 /*
- * Faults found in settings and lists, collected for one report.
+ * Messages about faults in settings and lists, collected for one report.
  */
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/core/log.c
+++ b/src/core/log.c
@@ -1,8 +1,9 @@
 /*
- * Logger: one line an event, "time level module key=value ...", written with
- * a single call so that lines of several threads never mix. A process of one
- * thread may buffer its lines: then nothing ever waits for their reader, and
- * lines over the bound of a second are counted instead of written.
+ * Logger: one line for each event, "module: time_ms= level= process= ..." and
+ * the event's fields, written by a single call so that lines of several threads
+ * never mix. A process with one thread may buffer its lines: then it never
+ * blocks on a slow reader, and lines over the limit of a second are counted
+ * instead of written.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -14,7 +15,7 @@
 
 #include "kwb.h"
 
-#define LINE_MAX_BYTES 1024
+#define LINE_MAX_BYTES 1024 /* longer lines are cut */
 
 static const char *const level_names[] = {"debug", "info", "warn", "error"};
 static enum kwb_log_level log_min_level = KWB_LOG_INFO;
@@ -27,13 +28,14 @@
 	log_min_level = min_level;
 }
 
-static bool buffered;
+static bool buffered; /* lines go through the buffer */
 static char buffer[KWB_LOG_BUFFER_BYTES];
-static size_t buffer_bytes;
-static uint64_t dropped;
+static size_t buffer_bytes; /* used */
+static uint64_t dropped;    /* lines since this was logged last */
+/* The limit of a second: when its first line came, and its lines so far. */
 static uint64_t second_ms;
-static uint32_t second_lines;
-static uint32_t second_warnings;
+static uint32_t second_lines;	 /* below the level of warnings */
+static uint32_t second_warnings; /* warnings and errors */
 
 void
 kwb_log_enable_buffering(void)
@@ -54,14 +56,17 @@
 		return;
 	written = write(STDOUT_FILENO, buffer, buffer_bytes);
 	if (written < 0 && errno != EAGAIN && errno != EINTR)
-		written = (ssize_t)buffer_bytes; /* nobody reads any more */
+		written = (ssize_t)buffer_bytes; /* no reader: discard */
 	if (written <= 0)
 		return;
 	buffer_bytes -= (size_t)written;
 	memmove(buffer, buffer + written, buffer_bytes);
 }
 
-/* Whether a line fits into this second; tells how many did not. */
+/*
+ * Counts a line; false if it is over the limit of the second. In a new second,
+ * first logs how many lines were dropped.
+ */
 static bool
 line_is_allowed(enum kwb_log_level level, uint64_t wall_ms)
 {
@@ -78,7 +83,7 @@
 			    (unsigned long long)count);
 		}
 	}
-	/* Apart, so that usual lines never push a warning out. */
+	/* Counted apart, so that other lines never displace a warning. */
 	if ((level < KWB_LOG_WARN ? ++second_lines : ++second_warnings) >
 	    KWB_LOG_LINES_PER_S) {
 		dropped++;
@@ -87,6 +92,7 @@
 	return true;
 }
 
+/* Adds a line to the buffer; drops it if the buffer stays full. */
 static void
 line_buffer(const char *line, size_t length_bytes)
 {
--- a/src/core/metrics.c
+++ b/src/core/metrics.c
@@ -1,5 +1,6 @@
 /*
- * Counters of the process, printed in the usual text exposition format.
+ * Counters, gauges and latency histograms, printed in the text format of
+ * Prometheus.
  */
 #include <stdatomic.h>
 
@@ -47,9 +48,9 @@
 	return atomic_load_explicit(&values[metric], memory_order_relaxed);
 }
 
-#define BOUNDED_BUCKETS 12
+#define BOUNDED_BUCKETS 12 /* with an upper bound */
 
-/* Upper bounds of the buckets, in milliseconds; the last has none. */
+/* Upper bounds of the buckets; a further bucket takes what is above them. */
 static const uint32_t bucket_bounds_ms[BOUNDED_BUCKETS] = {
     5, 10, 25, 50, 100, 150, 250, 500, 1000, 2500, 5000, 10000};
 static const char *const histogram_names[KWB_HISTOGRAM_COUNT] = {
@@ -58,6 +59,7 @@
     [KWB_HISTOGRAM_ITEM] = "kwb_item_seconds",
     [KWB_HISTOGRAM_STORE] = "kwb_store_seconds",
 };
+/* Latencies in each bucket; those below it are added when printing. */
 static _Atomic uint64_t buckets[KWB_HISTOGRAM_COUNT][BOUNDED_BUCKETS + 1];
 static _Atomic uint64_t sums_ns[KWB_HISTOGRAM_COUNT];
 
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings of the daemons: YAML files, every field checked.
+ * Settings of the daemons: read from YAML files, with every field checked.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -8,7 +8,7 @@
 #include "yaml.h"
 
 #define WORKERS_DEFAULT 256
-#define SUBSET_DEFAULT 24
+#define SUBSET_DEFAULT 24 /* agents of a pool */
 #define DRAIN_MS_DEFAULT 30000
 #define SLOTS_DEFAULT 16
 #define SLOTS_MAX 256
@@ -115,7 +115,8 @@
 	check_range(faults, path, "drain_ms", entry->drain_ms, 1000, 600000);
 	if (entry->policy[0] != '\0' &&
 	    kwb_policy_parse(&policy, entry->policy) != 0)
-		kwb_faults_add(faults, "%s: policy: '%s' is no policy", path,
+		kwb_faults_add(faults,
+		    "%s: policy: '%s' is not a routing policy", path,
 		    entry->policy);
 	for (i = 0; i < entry->seeds_count; i++)
 		check_address(
@@ -226,8 +227,8 @@
     const char *value)
 {
 	if (strncmp(value, "http://", 7) != 0)
-		kwb_faults_add(faults, "%s: %s: '%s' is no http:// URL", path,
-		    field, value);
+		kwb_faults_add(faults, "%s: %s: '%s' is not an http:// URL",
+		    path, field, value);
 }
 
 static void
--- a/src/core/yaml.c
+++ b/src/core/yaml.c
@@ -1,7 +1,7 @@
 /*
- * YAML loading: schema faults become one line each, with file, line and path.
- * Unknown keys are all reported; libcyaml stops line_note the first fault of
- * type or range.
+ * Loads YAML texts with libcyaml and turns its log into faults, one message
+ * each with file, line and path. All unknown keys are reported, but only the
+ * first value of a wrong type or range, as libcyaml stops there.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -49,7 +49,7 @@
 	if (error != CYAML_OK && yaml->faults->count == count_before)
 		kwb_faults_add(
 		    yaml->faults, "%s: %s", yaml->file, cyaml_strerror(error));
-	/* With unknown fields alone the rest is there, for further checks. */
+	/* If only keys are unknown, *data is set and can be checked further. */
 	if (yaml->faults->count == count_before)
 		return 0;
 	return KWB_ERR_SETTINGS;
@@ -76,7 +76,10 @@
 	return 0;
 }
 
-/* An unindented line begins a fault; the rest is its backtrace. */
+/*
+ * Takes a line of libcyaml's log. A line without indentation begins a fault,
+ * indented lines are its backtrace; they are gathered into one message.
+ */
 static void
 yaml_on_log(cyaml_log_t level, void *context, const char *format, va_list args)
 {
@@ -108,6 +111,7 @@
 	kwb_buf_add(&yaml->pending, text, strlen(text));
 }
 
+/* Reports the gathered fault, if any. */
 static void
 yaml_report_pending(struct kwb_yaml *yaml)
 {
@@ -124,7 +128,9 @@
 	yaml->pending.used_bytes = 0;
 }
 
-/* libcyaml gives no line for a key it ignores: the first such key's is taken.
+/*
+ * Reports a key that is not in the schema. libcyaml does not tell its line, so
+ * the first line with that key is given.
  */
 static void
 yaml_report_unknown_key(struct kwb_yaml *yaml, const char *key)
