--- a/include/kwb.h
+++ b/include/kwb.h
@@ -160,17 +160,17 @@
 
 enum kwb_metric {
 	KWB_METRIC_REQUESTS_RAN,     /* answered by an upstream */
-	KWB_METRIC_REQUESTS_NOT_RUN, /* refused or failed; not run for certain
-				      */
-	KWB_METRIC_REQUESTS_UNKNOWN, /* failed; may have been run */
+	KWB_METRIC_REQUESTS_NOT_RUN, /* certainly not run */
+	KWB_METRIC_REQUESTS_UNKNOWN, /* failed, but may have run */
 	KWB_METRIC_RETRIES,	     /* further attempts at failed requests */
-	KWB_METRIC_HEDGES,	     /* further attempts while one is slow */
+	KWB_METRIC_HEDGES,  /* further attempts while the first is slow */
 	KWB_METRIC_RESUMES, /* generations continued from earlier tokens */
-	KWB_METRIC_SAMPLES_DELIVERED, /* sent to trainers */
-	KWB_METRIC_SAMPLES_STALE,     /* discarded: made by weights too old */
-	KWB_METRIC_TOKENS,	      /* received from engines */
-	KWB_METRIC_TOKENS_WASTED,     /* of discarded samples */
-	KWB_METRIC_REFUSED_FENCED, /* requests and orders of an older fence */
+	KWB_METRIC_SAMPLES_DELIVERED,	/* sent to trainers */
+	KWB_METRIC_SAMPLES_STALE,	/* discarded: made by weights too old */
+	KWB_METRIC_TOKENS,		/* received from engines */
+	KWB_METRIC_TOKENS_WASTED,	/* of discarded samples */
+	KWB_METRIC_REFUSED_FENCED,	/* requests and orders: a newer fence is
+					   known */
 	KWB_METRIC_REFUSED_STALE_LISTS, /* sent under outdated lists */
 	KWB_METRIC_WEIGHT_SWAPS, /* done by an agent, or ordered by a node */
 	KWB_METRIC_WEIGHT_SWAP_FAILURES,
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -81,6 +81,7 @@
 static void settings_load(const cyaml_schema_value_t *schema, const char *path,
     struct kwb_faults *faults, void **settings);
 static void settings_free(const cyaml_schema_value_t *schema, void *settings);
+/* Each check adds a fault if the value of the field is not valid. */
 static void check_present(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_address(struct kwb_faults *faults, const char *path,
@@ -171,6 +172,7 @@
 	settings_free(&agent_schema, settings);
 }
 
+/* Sets *settings to NULL if the file can't be read or has type errors. */
 static void
 settings_load(const cyaml_schema_value_t *schema, const char *path,
     struct kwb_faults *faults, void **settings)
@@ -240,6 +242,7 @@
 		    field, value, min, max);
 }
 
+/* Sets a value that is 0, which is also what a missing field has. */
 static void
 set_default(uint32_t *value, uint32_t default_value)
 {
