--- a/include/kwb.h
+++ b/include/kwb.h
@@ -31,7 +31,7 @@
 	KWB_ERR_SETTINGS = -3,	    /* a settings file with faults */
 	KWB_ERR_SYSTEM = -4,	    /* a system call failed */
 	KWB_ERR_WIRE_FRAME = -100,  /* a frame that can't be decoded */
-	KWB_ERR_WIRE_SIZE = -101,   /* a frame or queue over its limit */
+	KWB_ERR_WIRE_SIZE = -101,   /* a frame, body or queue over its limit */
 	KWB_ERR_WIRE_CLOSED = -102, /* the link to the peer is closed */
 	KWB_ERR_NET_CONNECT = -120, /* no connection: nothing was sent */
 	KWB_ERR_NET_STALE = -121,   /* a reused connection closed unanswered */
@@ -169,8 +169,7 @@
 	KWB_METRIC_SAMPLES_STALE,	/* discarded: made by weights too old */
 	KWB_METRIC_TOKENS,		/* received from engines */
 	KWB_METRIC_TOKENS_WASTED,	/* of discarded samples */
-	KWB_METRIC_REFUSED_FENCED,	/* requests and orders: a newer fence is
-					   known */
+	KWB_METRIC_REFUSED_FENCED,	/* superseded requests and orders */
 	KWB_METRIC_REFUSED_STALE_LISTS, /* sent under outdated lists */
 	KWB_METRIC_WEIGHT_SWAPS, /* done by an agent, or ordered by a node */
 	KWB_METRIC_WEIGHT_SWAP_FAILURES,
