--- a/src/core/clock.c
+++ b/src/core/clock.c
@@ -25,7 +25,7 @@
 }
 
 uint64_t
-kwb_clock_left_ms(uint64_t deadline_ns)
+kwb_clock_remaining_ms(uint64_t deadline_ns)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 
@@ -44,7 +44,7 @@
 	nanosleep(&ts, NULL);
 }
 
-/* Condition variables made here wait on the monotonic clock. */
+/* By default, a condition variable waits on the wall clock. */
 void
 kwb_cond_init(pthread_cond_t *cond)
 {
--- a/src/core/settings.c
+++ b/src/core/settings.c
@@ -1,5 +1,5 @@
 /*
- * Settings of the daemons: YAML files, every field checked.
+ * Settings of the daemons: read from YAML files, with every field checked.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -8,21 +8,22 @@
 #include "yaml.h"
 
 #define WORKERS_DEFAULT 256
-#define SUBSET_DEFAULT 24
+#define SUBSET_DEFAULT 24 /* agents of a pool */
 #define DRAIN_MS_DEFAULT 30000
 #define SLOTS_DEFAULT 16
 #define SLOTS_MAX 256
 #define WORKERS_MAX 4096
-#define OPT CYAML_FLAG_OPTIONAL
+#define OPTIONAL CYAML_FLAG_OPTIONAL
 
-#define TEXT(type, field) CYAML_FIELD_STRING(#field, OPT, type, field, 0)
-#define UINT(type, field) CYAML_FIELD_UINT(#field, OPT, type, field)
+#define TEXT_FIELD(type, field)                                                \
+	CYAML_FIELD_STRING(#field, OPTIONAL, type, field, 0)
+#define UINT_FIELD(type, field) CYAML_FIELD_UINT(#field, OPTIONAL, type, field)
 
 static const cyaml_schema_field_t seed_fields[] = {
-    TEXT(struct kwb_seed, vm),
-    TEXT(struct kwb_seed, address),
-    TEXT(struct kwb_seed, failure_domain),
-    TEXT(struct kwb_seed, pool),
+    TEXT_FIELD(struct kwb_seed, vm),
+    TEXT_FIELD(struct kwb_seed, address),
+    TEXT_FIELD(struct kwb_seed, failure_domain),
+    TEXT_FIELD(struct kwb_seed, pool),
     CYAML_FIELD_END,
 };
 
@@ -31,15 +32,15 @@
 };
 
 static const cyaml_schema_field_t entry_fields[] = {
-    TEXT(struct kwb_entry_settings, vm),
-    TEXT(struct kwb_entry_settings, failure_domain),
-    TEXT(struct kwb_entry_settings, listen),
-    TEXT(struct kwb_entry_settings, platform),
-    TEXT(struct kwb_entry_settings, policy),
-    UINT(struct kwb_entry_settings, workers),
-    UINT(struct kwb_entry_settings, subset),
-    UINT(struct kwb_entry_settings, drain_ms),
-    CYAML_FIELD_SEQUENCE("seeds", OPT | CYAML_FLAG_POINTER,
+    TEXT_FIELD(struct kwb_entry_settings, vm),
+    TEXT_FIELD(struct kwb_entry_settings, failure_domain),
+    TEXT_FIELD(struct kwb_entry_settings, listen),
+    TEXT_FIELD(struct kwb_entry_settings, platform),
+    TEXT_FIELD(struct kwb_entry_settings, policy),
+    UINT_FIELD(struct kwb_entry_settings, workers),
+    UINT_FIELD(struct kwb_entry_settings, subset),
+    UINT_FIELD(struct kwb_entry_settings, drain_ms),
+    CYAML_FIELD_SEQUENCE("seeds", OPTIONAL | CYAML_FLAG_POINTER,
 	struct kwb_entry_settings, seeds, &seed_schema, 0, KWB_SEEDS_MAX),
     CYAML_FIELD_END,
 };
@@ -55,20 +56,20 @@
 };
 
 static const cyaml_schema_field_t agent_fields[] = {
-    TEXT(struct kwb_agent_settings, vm),
-    TEXT(struct kwb_agent_settings, failure_domain),
-    TEXT(struct kwb_agent_settings, listen),
-    TEXT(struct kwb_agent_settings, platform),
-    TEXT(struct kwb_agent_settings, pool),
-    TEXT(struct kwb_agent_settings, upstream),
-    TEXT(struct kwb_agent_settings, metrics),
-    CYAML_FIELD_ENUM("upstream_kind", OPT, struct kwb_agent_settings,
+    TEXT_FIELD(struct kwb_agent_settings, vm),
+    TEXT_FIELD(struct kwb_agent_settings, failure_domain),
+    TEXT_FIELD(struct kwb_agent_settings, listen),
+    TEXT_FIELD(struct kwb_agent_settings, platform),
+    TEXT_FIELD(struct kwb_agent_settings, pool),
+    TEXT_FIELD(struct kwb_agent_settings, upstream),
+    TEXT_FIELD(struct kwb_agent_settings, metrics),
+    CYAML_FIELD_ENUM("upstream_kind", OPTIONAL, struct kwb_agent_settings,
 	upstream_kind, upstream_kinds, 2),
-    CYAML_FIELD_BOOL(
-	"upstream_fences", OPT, struct kwb_agent_settings, upstream_fences),
-    UINT(struct kwb_agent_settings, slots),
-    UINT(struct kwb_agent_settings, interactive_reserve),
-    UINT(struct kwb_agent_settings, drain_ms),
+    CYAML_FIELD_BOOL("upstream_fences", OPTIONAL, struct kwb_agent_settings,
+	upstream_fences),
+    UINT_FIELD(struct kwb_agent_settings, slots),
+    UINT_FIELD(struct kwb_agent_settings, interactive_reserve),
+    UINT_FIELD(struct kwb_agent_settings, drain_ms),
     CYAML_FIELD_END,
 };
 
@@ -80,15 +81,16 @@
 static void settings_load(const cyaml_schema_value_t *schema, const char *path,
     struct kwb_faults *faults, void **settings);
 static void settings_free(const cyaml_schema_value_t *schema, void *settings);
-static void check_text(struct kwb_faults *faults, const char *path,
+/* Each check adds a fault if the value of the field is not valid. */
+static void check_present(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_address(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_url(struct kwb_faults *faults, const char *path,
     const char *field, const char *value);
 static void check_range(struct kwb_faults *faults, const char *path,
-    const char *field, uint32_t value, uint32_t low, uint32_t high);
-static void default_to(uint32_t *value, uint32_t fallback);
+    const char *field, uint32_t value, uint32_t min, uint32_t max);
+static void set_default(uint32_t *value, uint32_t default_value);
 
 int
 kwb_entry_settings_load(struct kwb_entry_settings **settings, const char *path,
@@ -102,11 +104,11 @@
 	if (*settings == NULL)
 		return KWB_ERR_SETTINGS;
 	entry = *settings;
-	default_to(&entry->workers, WORKERS_DEFAULT);
-	default_to(&entry->subset, SUBSET_DEFAULT);
-	default_to(&entry->drain_ms, DRAIN_MS_DEFAULT);
-	check_text(faults, path, "vm", entry->vm);
-	check_text(faults, path, "failure_domain", entry->failure_domain);
+	set_default(&entry->workers, WORKERS_DEFAULT);
+	set_default(&entry->subset, SUBSET_DEFAULT);
+	set_default(&entry->drain_ms, DRAIN_MS_DEFAULT);
+	check_present(faults, path, "vm", entry->vm);
+	check_present(faults, path, "failure_domain", entry->failure_domain);
 	check_address(faults, path, "listen", entry->listen);
 	check_url(faults, path, "platform", entry->platform);
 	check_range(faults, path, "workers", entry->workers, 8, WORKERS_MAX);
@@ -114,7 +116,8 @@
 	check_range(faults, path, "drain_ms", entry->drain_ms, 1000, 600000);
 	if (entry->policy[0] != '\0' &&
 	    kwb_policy_parse(&policy, entry->policy) != 0)
-		kwb_faults_add(faults, "%s: policy: '%s' is no policy", path,
+		kwb_faults_add(faults,
+		    "%s: policy: '%s' is not a routing policy", path,
 		    entry->policy);
 	for (i = 0; i < entry->seeds_count; i++)
 		check_address(
@@ -142,11 +145,11 @@
 	if (*settings == NULL)
 		return KWB_ERR_SETTINGS;
 	agent = *settings;
-	default_to(&agent->slots, SLOTS_DEFAULT);
-	default_to(&agent->drain_ms, DRAIN_MS_DEFAULT);
-	check_text(faults, path, "vm", agent->vm);
-	check_text(faults, path, "failure_domain", agent->failure_domain);
-	check_text(faults, path, "pool", agent->pool);
+	set_default(&agent->slots, SLOTS_DEFAULT);
+	set_default(&agent->drain_ms, DRAIN_MS_DEFAULT);
+	check_present(faults, path, "vm", agent->vm);
+	check_present(faults, path, "failure_domain", agent->failure_domain);
+	check_present(faults, path, "pool", agent->pool);
 	check_address(faults, path, "listen", agent->listen);
 	check_url(faults, path, "platform", agent->platform);
 	check_url(faults, path, "upstream", agent->upstream);
@@ -169,6 +172,7 @@
 	settings_free(&agent_schema, settings);
 }
 
+/* Sets *settings to NULL if the file can't be read or has type errors. */
 static void
 settings_load(const cyaml_schema_value_t *schema, const char *path,
     struct kwb_faults *faults, void **settings)
@@ -202,7 +206,7 @@
 }
 
 static void
-check_text(struct kwb_faults *faults, const char *path, const char *field,
+check_present(struct kwb_faults *faults, const char *path, const char *field,
     const char *value)
 {
 	if (value[0] == '\0')
@@ -225,22 +229,23 @@
     const char *value)
 {
 	if (strncmp(value, "http://", 7) != 0)
-		kwb_faults_add(faults, "%s: %s: '%s' is no http:// URL", path,
-		    field, value);
+		kwb_faults_add(faults, "%s: %s: '%s' is not an http:// URL",
+		    path, field, value);
 }
 
 static void
 check_range(struct kwb_faults *faults, const char *path, const char *field,
-    uint32_t value, uint32_t low, uint32_t high)
+    uint32_t value, uint32_t min, uint32_t max)
 {
-	if (value < low || value > high)
+	if (value < min || value > max)
 		kwb_faults_add(faults, "%s: %s: %u is not in %u..%u", path,
-		    field, value, low, high);
+		    field, value, min, max);
 }
 
+/* Sets a value that is 0, which is also what a missing field has. */
 static void
-default_to(uint32_t *value, uint32_t fallback)
+set_default(uint32_t *value, uint32_t default_value)
 {
 	if (*value == 0)
-		*value = fallback;
+		*value = default_value;
 }
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1203,21 +1203,21 @@
 		bool ends_call;
 		int reported_error;
 	} answers[] = {
-	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_UNKNOWN,
-		true, KWB_ERR_STORE_UNKNOWN},
+	    {"one read fails", KWB_RESEND_READ, 1, 0, KWB_ERR_STORE_NO_ANSWER,
+		true, KWB_ERR_STORE_NO_ANSWER},
 	    {"one write conflicts", KWB_RESEND_WRITE, 1, 0,
 		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_CONFLICT},
 	    {"done", KWB_RESEND_WRITE, 2, 1, 0, true, 0},
 	    {"a copy conflicts, another is open", KWB_RESEND_WRITE, 2, 1,
-		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_UNKNOWN},
+		KWB_ERR_STORE_CONFLICT, true, KWB_ERR_STORE_NO_ANSWER},
 	    {"a copy is refused, another is open", KWB_RESEND_WRITE, 2, 1,
 		KWB_ERR_STORE_REFUSED, false, KWB_ERR_STORE_REFUSED},
 	    {"the last copy is refused", KWB_RESEND_WRITE, 2, 0,
-		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_UNKNOWN},
+		KWB_ERR_STORE_REFUSED, true, KWB_ERR_STORE_NO_ANSWER},
 	    {"a read finds no row", KWB_RESEND_READ, 2, 1,
 		KWB_ERR_STORE_MISSING, true, KWB_ERR_STORE_MISSING},
 	    {"a copy of a read fails", KWB_RESEND_READ, 2, 1,
-		KWB_ERR_STORE_UNKNOWN, false, KWB_ERR_STORE_UNKNOWN},
+		KWB_ERR_STORE_NO_ANSWER, false, KWB_ERR_STORE_NO_ANSWER},
 	};
 	unsigned i;
 
