--- a/cli/ctl.h
+++ b/cli/ctl.h
@@ -13,15 +13,15 @@
 	EXIT_DONE = 0,
 	EXIT_DIFFERS = 1, /* diff found a difference */
 	EXIT_USAGE = 2,
-	EXIT_INVALID = 3,  /* the lists have faults */
-	EXIT_CONFLICT = 4, /* another edit came first */
-	EXIT_PLATFORM = 5, /* the platform can't be reached */
-	EXIT_NOT_YET = 6   /* accepted, not seen in force everywhere */
+	EXIT_INVALID = 3,     /* the lists have faults */
+	EXIT_CONFLICT = 4,    /* another edit came first */
+	EXIT_PLATFORM = 5,    /* the platform can't be reached */
+	EXIT_NOT_IN_FORCE = 6 /* accepted, not seen in force everywhere */
 };
 
 struct ctl {
 	struct kwb_platform platform;
-	bool json;
+	bool is_json;
 	uint32_t wait_ms;
 	int arguments_count;
 	char **arguments;
@@ -48,9 +48,9 @@
 int ctl_publish(struct ctl *ctl, const struct kwb_lists *ours);
 
 /* status.c */
-int ctl_in_force(struct ctl *ctl, uint64_t revision);
+int ctl_wait_in_force(struct ctl *ctl, uint64_t revision);
 
-int ctl_fail(int error, const char *what);
+int ctl_print_error(int error, const char *what);
 void ctl_faults_print(const struct ctl *ctl, const struct kwb_faults *faults);
 
 #endif
--- a/cli/files.c
+++ b/cli/files.c
@@ -11,9 +11,10 @@
 
 #define HISTORY_DEFAULT 10
 
-static int lists_add(struct kwb_lists *to, struct kwb_lists *from);
-static void lists_fill(struct kwb_lists *to, const struct kwb_lists *from);
-static int edit_one(
+static int lists_move_missing(struct kwb_lists *to, struct kwb_lists *from);
+static void lists_copy_missing(
+    struct kwb_lists *to, const struct kwb_lists *from);
+static int print_edited(
     const struct kwb_lists *lists, struct ctl *ctl, struct kwb_buf *text);
 static bool replace_field(struct kwb_buf *text, const char *list,
     const char *name, const char *assignment);
@@ -22,19 +23,19 @@
 ctl_get(struct ctl *ctl)
 {
 	const char *part = ctl->arguments_count ? ctl->arguments[0] : "";
-	struct kwb_lists *lists = NULL, shown;
+	struct kwb_lists *lists = NULL, selected;
 	struct kwb_buf text;
 	int error = kwb_lists_fetch(&ctl->platform, &lists);
 
 	if (error != 0)
-		return ctl_fail(error, "get");
-	shown = *lists;
+		return ctl_print_error(error, "get");
+	selected = *lists;
 	if (strcmp(part, "plans") == 0)
-		shown.allowances_count = 0;
+		selected.allowances_count = 0;
 	if (strcmp(part, "allowances") == 0)
-		shown.plans_count = 0;
+		selected.plans_count = 0;
 	kwb_buf_init(&text);
-	kwb_lists_print(&shown, &text);
+	kwb_lists_print(&selected, &text);
 	fputs(kwb_buf_text(&text), stdout);
 	kwb_buf_finish(&text);
 	kwb_lists_free(lists);
@@ -67,7 +68,7 @@
 ctl_diff(struct ctl *ctl)
 {
 	struct kwb_faults faults = {0};
-	struct kwb_lists *lists = NULL, *now = NULL;
+	struct kwb_lists *lists = NULL, *current = NULL;
 	struct ctl_files files;
 	struct kwb_buf text;
 	int code = EXIT_INVALID, error;
@@ -75,19 +76,19 @@
 	if (ctl->arguments_count == 0)
 		return EXIT_USAGE;
 	kwb_buf_init(&text);
-	error = kwb_lists_fetch(&ctl->platform, &now);
+	error = kwb_lists_fetch(&ctl->platform, &current);
 	if (error != 0)
-		return ctl_fail(error, "diff");
+		return ctl_print_error(error, "diff");
 	if (ctl_files_load(ctl, &files, &lists, &faults) == 0) {
-		lists_fill(lists, now);
-		code = kwb_lists_diff(now, lists, &text) ? EXIT_DIFFERS
-							 : EXIT_DONE;
+		lists_copy_missing(lists, current);
+		code = kwb_lists_diff(current, lists, &text) ? EXIT_DIFFERS
+							     : EXIT_DONE;
 		fputs(kwb_buf_text(&text), stdout);
 	}
 	ctl_faults_print(ctl, &faults);
 	kwb_buf_finish(&text);
 	kwb_lists_free(lists);
-	kwb_lists_free(now);
+	kwb_lists_free(current);
 	ctl_files_finish(&files);
 	return code;
 }
@@ -96,27 +97,27 @@
 ctl_apply(struct ctl *ctl)
 {
 	struct kwb_faults faults = {0};
-	struct kwb_lists *lists = NULL, *now = NULL;
+	struct kwb_lists *lists = NULL, *current = NULL;
 	struct ctl_files files;
 	int code = EXIT_INVALID, error;
 
 	if (ctl->arguments_count == 0)
 		return EXIT_USAGE;
-	error = kwb_lists_fetch(&ctl->platform, &now);
+	error = kwb_lists_fetch(&ctl->platform, &current);
 	if (error != 0)
-		return ctl_fail(error, "apply");
+		return ctl_print_error(error, "apply");
 	ctl_files_load(ctl, &files, &lists, &faults);
 	if (lists != NULL) {
 		/* A file without a revision was edited from the newest. */
 		if (lists->revision == 0)
-			lists->revision = now->revision;
-		lists_fill(lists, now);
+			lists->revision = current->revision;
+		lists_copy_missing(lists, current);
 		kwb_lists_check(lists, files.sources, files.count, &faults);
 	}
 	if (lists != NULL && faults.count == 0)
 		code = ctl_publish(ctl, lists);
 	ctl_faults_print(ctl, &faults);
-	kwb_lists_free(now);
+	kwb_lists_free(current);
 	kwb_lists_free(lists);
 	ctl_files_finish(&files);
 	return code;
@@ -137,9 +138,9 @@
 	if (error != 0) {
 		ctl_faults_print(ctl, &faults);
 		fputs(kwb_buf_text(&conflicts), stderr);
-		code = ctl_fail(error, "not applied");
+		code = ctl_print_error(error, "not applied");
 	} else {
-		code = ctl_in_force(ctl, revision);
+		code = ctl_wait_in_force(ctl, revision);
 	}
 	kwb_buf_finish(&conflicts);
 	return code;
@@ -158,9 +159,9 @@
 		return EXIT_USAGE;
 	error = kwb_lists_fetch(&ctl->platform, &lists);
 	if (error != 0)
-		return ctl_fail(error, "edit");
+		return ctl_print_error(error, "edit");
 	kwb_buf_init(&text);
-	code = edit_one(lists, ctl, &text);
+	code = print_edited(lists, ctl, &text);
 	source.text = kwb_buf_text(&text);
 	if (code == EXIT_DONE &&
 	    (kwb_lists_parse(&edited, &source, &faults) != 0 ||
@@ -182,15 +183,15 @@
 	uint64_t count = ctl->arguments_count
 	    ? strtoull(ctl->arguments[0], NULL, 10)
 	    : HISTORY_DEFAULT;
-	struct kwb_lists *now = NULL, *old, *older;
+	struct kwb_lists *current = NULL, *old, *older;
 	struct kwb_buf text;
 	uint64_t revision;
-	int error = kwb_lists_fetch(&ctl->platform, &now);
+	int error = kwb_lists_fetch(&ctl->platform, &current);
 
 	if (error != 0)
-		return ctl_fail(error, "history");
+		return ctl_print_error(error, "history");
 	kwb_buf_init(&text);
-	for (revision = now->revision; revision > 0 && count > 0;
+	for (revision = current->revision; revision > 0 && count > 0;
 	     revision--, count--) {
 		old = older = NULL;
 		text.used_bytes = 0;
@@ -205,7 +206,7 @@
 		kwb_lists_free(older);
 	}
 	kwb_buf_finish(&text);
-	kwb_lists_free(now);
+	kwb_lists_free(current);
 	return EXIT_DONE;
 }
 
@@ -214,7 +215,7 @@
 ctl_files_load(struct ctl *ctl, struct ctl_files *files,
     struct kwb_lists **lists, struct kwb_faults *faults)
 {
-	struct kwb_lists *one;
+	struct kwb_lists *parsed;
 	int i;
 
 	memset(files, 0, sizeof(*files));
@@ -230,14 +231,14 @@
 			kwb_faults_add(
 			    faults, "%s: cannot be read", source->file);
 		source->text = kwb_buf_text(text);
-		kwb_lists_parse(&one, source, faults);
-		if (one == NULL)
+		kwb_lists_parse(&parsed, source, faults);
+		if (parsed == NULL)
 			continue;
 		if (*lists == NULL) {
-			*lists = one;
+			*lists = parsed;
 			continue;
 		}
-		if (lists_add(*lists, one) != 0)
+		if (lists_move_missing(*lists, parsed) != 0)
 			kwb_faults_add(
 			    faults, "%s: list given twice", source->file);
 	}
@@ -265,7 +266,7 @@
 
 /* Moves what one side lacks over to it; from is used up. */
 static int
-lists_add(struct kwb_lists *to, struct kwb_lists *from)
+lists_move_missing(struct kwb_lists *to, struct kwb_lists *from)
 {
 	int error = 0;
 
@@ -293,35 +294,36 @@
 
 /* A list that no file gives stays as it is. */
 static void
-lists_fill(struct kwb_lists *to, const struct kwb_lists *from)
+lists_copy_missing(struct kwb_lists *to, const struct kwb_lists *from)
 {
-	struct kwb_lists half = *from;
-	struct kwb_lists none = {0}, *copy = NULL;
+	struct kwb_lists missing = *from;
+	struct kwb_lists empty = {0}, *copy = NULL;
 	struct kwb_buf ignored;
 
 	if (to->plans_count > 0)
-		half.plans_count = 0;
+		missing.plans_count = 0;
 	if (to->allowances_count > 0)
-		half.allowances_count = 0;
-	half.revision = 0;
+		missing.allowances_count = 0;
+	missing.revision = 0;
 	kwb_buf_init(&ignored);
-	if (kwb_lists_merge(&copy, &none, &half, &half, &ignored) == 0)
-		lists_add(to, copy);
+	if (kwb_lists_merge(&copy, &empty, &missing, &missing, &ignored) == 0)
+		lists_move_missing(to, copy);
 	kwb_buf_finish(&ignored);
 }
 
 static int
-edit_one(const struct kwb_lists *lists, struct ctl *ctl, struct kwb_buf *text)
+print_edited(
+    const struct kwb_lists *lists, struct ctl *ctl, struct kwb_buf *text)
 {
-	bool plan = strcmp(ctl->arguments[0], "plan") == 0;
+	bool is_plan = strcmp(ctl->arguments[0], "plan") == 0;
 	int i;
 
-	if (!plan && strcmp(ctl->arguments[0], "allowance") != 0)
+	if (!is_plan && strcmp(ctl->arguments[0], "allowance") != 0)
 		return EXIT_USAGE;
 	if (kwb_lists_print(lists, text) != 0)
 		return EXIT_INVALID;
 	for (i = 2; i < ctl->arguments_count; i++) {
-		if (replace_field(text, plan ? "plans" : "allowances",
+		if (replace_field(text, is_plan ? "plans" : "allowances",
 			ctl->arguments[1], ctl->arguments[i]))
 			continue;
 		fprintf(stderr, "kwbctl: no such entry or field: %s %s %s\n",
@@ -342,7 +344,7 @@
 	size_t field_length = strcspn(assignment, "=");
 	struct kwb_buf out;
 	const char *line, *next;
-	bool in_list = false, in_entry = false, done = false;
+	bool is_in_list = false, is_in_entry = false, is_replaced = false;
 
 	kwb_buf_init(&out);
 	for (line = text->data; *line != '\0'; line = next) {
@@ -353,23 +355,24 @@
 		next = line + strcspn(line, "\n");
 		next += *next == '\n';
 		if (indent == 0)
-			in_list = strncmp(word, list, strlen(list)) == 0;
+			is_in_list = strncmp(word, list, strlen(list)) == 0;
 		if (strncmp(line, "- ", 2) == 0)
-			in_entry = in_list &&
+			is_in_entry = is_in_list &&
 			    strncmp(value + 2, name, strlen(name)) == 0 &&
 			    value[2 + strlen(name)] == '\n';
-		if (in_entry && !done && assignment[field_length] == '=' &&
+		if (is_in_entry && !is_replaced &&
+		    assignment[field_length] == '=' &&
 		    (size_t)(value - word) == field_length &&
 		    strncmp(word, assignment, field_length) == 0) {
 			kwb_buf_add(&out, line, indent + field_length);
 			kwb_buf_printf(
 			    &out, ": %s\n", assignment + field_length + 1);
-			done = true;
+			is_replaced = true;
 			continue;
 		}
 		kwb_buf_add(&out, line, (size_t)(next - line));
 	}
 	kwb_buf_finish(text);
 	*text = out;
-	return done;
+	return is_replaced;
 }
--- a/cli/kwbctl.c
+++ b/cli/kwbctl.c
@@ -66,8 +66,8 @@
 			url = optarg;
 			break;
 		case 'o':
-			ctl.json = strcmp(optarg, "json") == 0;
-			if (ctl.json || strcmp(optarg, "text") == 0)
+			ctl.is_json = strcmp(optarg, "json") == 0;
+			if (ctl.is_json || strcmp(optarg, "text") == 0)
 				break;
 			fprintf(stderr, "kwbctl: --output is text or json\n");
 			return EXIT_USAGE;
@@ -116,7 +116,7 @@
 }
 
 int
-ctl_fail(int error, const char *what)
+ctl_print_error(int error, const char *what)
 {
 	fprintf(stderr, "kwbctl: %s: %s\n", what, kwb_error_name(error));
 	if (error == KWB_ERR_LISTS_CONFLICT)
--- a/cli/status.c
+++ b/cli/status.c
@@ -12,125 +12,128 @@
 
 #define URL_MAX_BYTES 256
 #define STATUS_TIMEOUT_MS 1000
-#define POLL_NS (50 * KWB_MS_NS)
+#define POLL_PERIOD_NS (50 * KWB_MS_NS)
 
-struct survey {
+struct revision_counts {
 	unsigned entries;
-	unsigned entries_silent;
+	unsigned unreachable_entries;
 	unsigned agents;
 	unsigned behind; /* entries and agents below the revision */
 };
 
-static json_t *entry_status(const struct kwb_vm *vm);
-static void survey_take(
-    struct ctl *ctl, uint64_t revision, struct survey *survey);
-static void survey_entry(
-    json_t *status, uint64_t revision, json_t *agents, struct survey *survey);
+static json_t *entry_read_status(const struct kwb_vm *vm);
+static void revision_counts_read(
+    struct ctl *ctl, uint64_t revision, struct revision_counts *counts);
+static void revision_counts_add(json_t *status, uint64_t revision,
+    json_t *agents, struct revision_counts *counts);
 static void entry_print(json_t *status);
 
 int
 ctl_status(struct ctl *ctl)
 {
 	struct kwb_vms *vms = calloc(1, sizeof(*vms));
-	json_t *all = json_array(), *status;
+	json_t *statuses = json_array(), *status;
 	uint32_t i;
 	int error = kwb_vms_get(&ctl->platform, vms);
 
 	if (error != 0) {
 		free(vms);
-		return ctl_fail(error, "status");
+		return ctl_print_error(error, "status");
 	}
 	for (i = 0; i < vms->count; i++) {
 		if (strcmp(vms->vms[i].role, "entry") != 0)
 			continue;
-		status = entry_status(&vms->vms[i]);
+		status = entry_read_status(&vms->vms[i]);
 		if (status == NULL)
 			status = json_pack(
 			    "{s:s, s:b}", "vm", vms->vms[i].vm, "reachable", 0);
-		json_array_append_new(all, status);
-		if (!ctl->json)
+		json_array_append_new(statuses, status);
+		if (!ctl->is_json)
 			entry_print(status);
 	}
-	if (ctl->json) {
-		json_dumpf(all, stdout, JSON_INDENT(2) | JSON_PRESERVE_ORDER);
+	if (ctl->is_json) {
+		json_dumpf(
+		    statuses, stdout, JSON_INDENT(2) | JSON_PRESERVE_ORDER);
 		putchar('\n');
 	}
-	json_decref(all);
+	json_decref(statuses);
 	free(vms);
 	return EXIT_DONE;
 }
 
 /* Waits until every entry and agent that answers has the revision. */
 int
-ctl_in_force(struct ctl *ctl, uint64_t revision)
+ctl_wait_in_force(struct ctl *ctl, uint64_t revision)
 {
-	uint64_t begun_ns = kwb_clock_now_ns();
-	uint64_t deadline_ns = begun_ns + ctl->wait_ms * KWB_MS_NS;
-	struct survey survey;
-	uint64_t passed_ms;
-	bool done;
+	uint64_t started_ns = kwb_clock_now_ns();
+	uint64_t deadline_ns = started_ns + ctl->wait_ms * KWB_MS_NS;
+	struct revision_counts counts;
+	uint64_t elapsed_ms;
+	bool is_in_force;
 
 	do {
-		survey_take(ctl, revision, &survey);
-		done = survey.entries > 0 && survey.behind == 0 &&
-		    survey.entries_silent == 0;
-		if (!done)
-			kwb_clock_sleep_ns(POLL_NS);
-	} while (!done && kwb_clock_now_ns() < deadline_ns);
-	passed_ms = (kwb_clock_now_ns() - begun_ns) / KWB_MS_NS;
-	if (ctl->json)
+		revision_counts_read(ctl, revision, &counts);
+		is_in_force = counts.entries > 0 && counts.behind == 0 &&
+		    counts.unreachable_entries == 0;
+		if (!is_in_force)
+			kwb_clock_sleep_ns(POLL_PERIOD_NS);
+	} while (!is_in_force && kwb_clock_now_ns() < deadline_ns);
+	elapsed_ms = (kwb_clock_now_ns() - started_ns) / KWB_MS_NS;
+	if (ctl->is_json)
 		printf("{\"revision\":%" PRIu64 ",\"in_force\":%s,"
 		       "\"entries\":%u,\"silent\":%u,\"agents\":%u,"
 		       "\"behind\":%u,\"after_ms\":%" PRIu64 "}\n",
-		    revision, done ? "true" : "false", survey.entries,
-		    survey.entries_silent, survey.agents, survey.behind,
-		    passed_ms);
+		    revision, is_in_force ? "true" : "false", counts.entries,
+		    counts.unreachable_entries, counts.agents, counts.behind,
+		    elapsed_ms);
 	else
 		printf("revision %" PRIu64 ": %s at %u entries and %u agents "
 		       "after %" PRIu64 " ms (%u behind, %u silent)\n",
-		    revision, done ? "in force" : "accepted, not yet in force",
-		    survey.entries, survey.agents, passed_ms, survey.behind,
-		    survey.entries_silent);
-	return done ? EXIT_DONE : EXIT_NOT_YET;
+		    revision,
+		    is_in_force ? "in force" : "accepted, not yet in force",
+		    counts.entries, counts.agents, elapsed_ms, counts.behind,
+		    counts.unreachable_entries);
+	return is_in_force ? EXIT_DONE : EXIT_NOT_IN_FORCE;
 }
 
 static void
-survey_take(struct ctl *ctl, uint64_t revision, struct survey *survey)
+revision_counts_read(
+    struct ctl *ctl, uint64_t revision, struct revision_counts *counts)
 {
 	struct kwb_vms *vms = calloc(1, sizeof(*vms));
 	json_t *agents = json_object(), *status;
 	uint32_t i;
 
-	memset(survey, 0, sizeof(*survey));
+	memset(counts, 0, sizeof(*counts));
 	if (vms == NULL || kwb_vms_get(&ctl->platform, vms) != 0)
-		survey->entries_silent = 1;
+		counts->unreachable_entries = 1;
 	for (i = 0; vms != NULL && i < vms->count; i++) {
 		if (strcmp(vms->vms[i].role, "entry") != 0)
 			continue;
-		survey->entries++;
-		status = entry_status(&vms->vms[i]);
+		counts->entries++;
+		status = entry_read_status(&vms->vms[i]);
 		if (status == NULL)
-			survey->entries_silent++;
+			counts->unreachable_entries++;
 		else
-			survey_entry(status, revision, agents, survey);
+			revision_counts_add(status, revision, agents, counts);
 		json_decref(status);
 	}
-	survey->agents = (unsigned)json_object_size(agents);
+	counts->agents = (unsigned)json_object_size(agents);
 	json_decref(agents);
 	free(vms);
 }
 
 /* An agent counts once, however many entries know it. */
 static void
-survey_entry(
-    json_t *status, uint64_t revision, json_t *agents, struct survey *survey)
+revision_counts_add(json_t *status, uint64_t revision, json_t *agents,
+    struct revision_counts *counts)
 {
 	json_t *agent;
 	size_t i;
 
 	if ((uint64_t)json_integer_value(
 		json_object_get(status, "lists_revision")) < revision)
-		survey->behind++;
+		counts->behind++;
 	json_array_foreach (json_object_get(status, "agents"), i, agent) {
 		const char *vm =
 		    json_string_value(json_object_get(agent, "vm"));
@@ -141,12 +144,12 @@
 		json_object_set_new(agents, vm, json_true());
 		if ((uint64_t)json_integer_value(
 			json_object_get(agent, "lists_revision")) < revision)
-			survey->behind++;
+			counts->behind++;
 	}
 }
 
 static json_t *
-entry_status(const struct kwb_vm *vm)
+entry_read_status(const struct kwb_vm *vm)
 {
 	char url[URL_MAX_BYTES];
 	struct kwb_http_request request = {
--- a/daemons/daemon.c
+++ b/daemons/daemon.c
@@ -37,7 +37,7 @@
 			options->settings = optarg;
 			break;
 		case 'c':
-			options->check = true;
+			options->is_check_only = true;
 			break;
 		case 'd':
 			options->log_level = KWB_LOG_DEBUG;
@@ -83,7 +83,7 @@
 }
 
 void
-daemon_wait(void)
+daemon_wait_for_signal(void)
 {
 	sigset_t set;
 	int number;
--- a/daemons/daemon.h
+++ b/daemons/daemon.h
@@ -8,7 +8,7 @@
 
 struct daemon_options {
 	const char *settings;
-	bool check;
+	bool is_check_only;
 	enum kwb_log_level log_level;
 };
 
@@ -16,7 +16,7 @@
 bool daemon_options_parse(
     struct daemon_options *options, int argc, char **argv, int *code);
 void daemon_faults_print(const struct kwb_faults *faults);
-void daemon_signals_block(void); /* before any thread starts */
-void daemon_wait(void);		 /* until SIGTERM or SIGINT */
+void daemon_signals_block(void);   /* before any thread starts */
+void daemon_wait_for_signal(void); /* until SIGTERM or SIGINT */
 
 #endif
--- a/daemons/kwb-agent.c
+++ b/daemons/kwb-agent.c
@@ -19,7 +19,7 @@
 		daemon_faults_print(&faults);
 		return 1;
 	}
-	if (!options.check) {
+	if (!options.is_check_only) {
 		daemon_signals_block();
 		kwb_log_init(settings->vm, options.log_level);
 		kwb_http_init();
@@ -30,7 +30,7 @@
 			    "event=no_start error=%s", kwb_error_name(code));
 			return 1;
 		}
-		daemon_wait();
+		daemon_wait_for_signal();
 		kwb_agent_stop(agent);
 		kwb_current_lists_finish();
 		kwb_http_finish();
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -379,12 +379,13 @@
 	const char *method;
 	const char *url;
 	const char *content_type;
-	const char *if_match;	/* revision text, "*" for insert only */
-	const char *if_changed; /* revision text already known */
+	const char *expected_revision; /* revision text, "*" for insert only */
+	const char *known_revision;    /* revision text already known */
 	const void *body;
 	size_t body_bytes;
 	uint32_t timeout_ms;
-	bool fresh; /* never reuse a connection, so never resend inside */
+	bool needs_new_connection; /* never reuse a connection, so never resend
+				      inside */
 	bool (*on_data)(void *context, const char *data, size_t length_bytes);
 	bool (*should_stop)(void *context); /* asked while nothing arrives */
 	void *context;
@@ -436,8 +437,9 @@
     uint64_t known, struct kwb_buf *value,
     uint64_t *revision); /* 1 when the row is still at the known revision */
 int kwb_table_put(const struct kwb_platform *platform, const char *key,
-    const char *value, size_t length_bytes, uint64_t expected,
-    uint64_t *revision); /* expected 0 inserts only; lost answers read back */
+    const char *value, size_t length_bytes, uint64_t expected_revision,
+    uint64_t *revision); /* expected_revision 0 inserts only; lost answers read
+			    back */
 int kwb_object_put(const struct kwb_platform *platform, const char *name,
     const char *data, size_t length_bytes); /* writes an object */
 int kwb_object_get(const struct kwb_platform *platform, const char *name,
@@ -466,11 +468,11 @@
 	uint64_t id; /* 0 when the slot is free */
 	int fd;
 	uint32_t tag;
-	bool connecting;
-	bool writable_wanted;
-	uint64_t period_ns; /* between heartbeats, at both ends */
-	uint64_t silent_deadline_ns;
-	uint64_t heartbeat_deadline_ns;
+	bool is_connecting;
+	bool is_watching_writable;
+	uint64_t heartbeat_period_ns; /* between heartbeats, at both ends */
+	uint64_t silence_deadline_ns;
+	uint64_t next_heartbeat_ns;
 	struct kwb_buf in;
 	struct kwb_buf out;
 };
@@ -480,10 +482,10 @@
 	void *context;
 	int epoll_fd;
 	int listen_fd;
-	uint64_t next_generation;
-	volatile bool stopping;
+	uint64_t next_link_number;
+	volatile bool is_stopping;
 	pthread_t thread;
-	pthread_mutex_t slots_lock;
+	pthread_mutex_t links_lock;
 	struct kwb_link links[KWB_LINKS_MAX];
 };
 
@@ -506,9 +508,11 @@
     const struct Kwb__Wire__Frame *frame); /* queues a frame; never blocks */
 void kwb_link_close(
     struct kwb_loop *loop, uint64_t link); /* ends a link; on_close follows */
-void kwb_link_pace(struct kwb_loop *loop, uint64_t link,
-    uint64_t period_ns); /* time between heartbeats; both ends must agree */
-void kwb_loop_beat(struct kwb_loop *loop); /* heartbeats on all links, soon */
+void kwb_link_set_heartbeat_period(struct kwb_loop *loop, uint64_t link,
+    uint64_t heartbeat_period_ns); /* time between heartbeats; both ends must
+				      agree */
+void kwb_loop_heartbeat_now(
+    struct kwb_loop *loop); /* heartbeats on all links, soon */
 
 /* ---- Member: subsets and leases --------------------------------------- */
 
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -25,18 +25,19 @@
 
 /* Wire */
 #define KWB_FRAME_MAX_BYTES (4u << 20)
-#define KWB_LINK_OUT_MAX_BYTES (32u << 20)
-#define KWB_HEARTBEAT_NS (1000 * KWB_MS_NS)
-#define KWB_HEARTBEAT_LINKS 8 /* beyond these, beats come less often */
-#define KWB_HEARTBEAT_LINK_NS (160 * KWB_MS_NS)
-#define KWB_LINK_SILENT_BEATS 3
-#define KWB_RECONNECT_NS (250 * KWB_MS_NS)
-#define KWB_RECONNECT_MAX_NS (2000 * KWB_MS_NS)
-#define KWB_STATUS_BEATS 5
-#define KWB_PROGRESS_NS (50 * KWB_MS_NS)
+#define KWB_LINK_SEND_BUFFER_MAX_BYTES (32u << 20)
+#define KWB_HEARTBEAT_PERIOD_NS (1000 * KWB_MS_NS)
+#define KWB_HEARTBEAT_FULL_RATE_LINKS                                          \
+	8 /* beyond these, beats come less often */
+#define KWB_HEARTBEAT_PERIOD_PER_LINK_NS (160 * KWB_MS_NS)
+#define KWB_LINK_TIMEOUT_HEARTBEATS 3
+#define KWB_RECONNECT_DELAY_MIN_NS (250 * KWB_MS_NS)
+#define KWB_RECONNECT_DELAY_MAX_NS (2000 * KWB_MS_NS)
+#define KWB_STATUS_PERIOD_HEARTBEATS 5
+#define KWB_PROGRESS_PERIOD_NS (50 * KWB_MS_NS)
 
 /* HTTP */
-#define KWB_BODY_MAX_BYTES (8u << 20)
+#define KWB_HTTP_BODY_MAX_BYTES (8u << 20)
 #define KWB_HTTP_TIMEOUT_MS 2000
 #define KWB_CONNECT_TIMEOUT_MS 500
 
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -11,9 +11,9 @@
 
 #define MONITOR_PERIOD_NS (100 * KWB_MS_NS)
 #define LEAVING_MIN_NS (1000 * KWB_MS_NS) /* for entries to learn of it */
-#define LOAD_HISTORY_COUNT (KWB_HEARTBEAT_NS / MONITOR_PERIOD_NS)
+#define LOAD_HISTORY_COUNT (KWB_HEARTBEAT_PERIOD_NS / MONITOR_PERIOD_NS)
 #define STATUS_REPEAT_NS (150 * KWB_MS_NS) /* in heartbeats after a change */
-#define LISTED_LEAVING_TTL_NS (3 * KWB_HEARTBEAT_NS)
+#define LISTED_LEAVING_TTL_NS (3 * KWB_HEARTBEAT_PERIOD_NS)
 
 /* A status message and the memory it points into. */
 struct status_message {
@@ -137,7 +137,7 @@
 	struct kwb_agent *agent = context;
 	struct status_message message;
 	Kwb__Wire__Hello hello = KWB__WIRE__HELLO__INIT;
-	KWB_FRAME(frame, HELLO, hello, hello);
+	KWB_FRAME_DECLARE(frame, HELLO, hello, hello);
 
 	(void)tag;
 	status_fill(agent, &message);
@@ -182,7 +182,7 @@
 			kwb_link_close(&agent->loop, link);
 		break;
 	case KWB__WIRE__FRAME__BODY_HEARTBEAT:
-		kwb_link_pace(&agent->loop, link,
+		kwb_link_set_heartbeat_period(&agent->loop, link,
 		    frame->heartbeat->period_ms * KWB_MS_NS);
 		if (frame->heartbeat->listed_leaving)
 			atomic_store(&agent->listed_leaving_until_ns,
@@ -207,7 +207,7 @@
 	struct kwb_agent *agent = context;
 	struct status_message message;
 	Kwb__Wire__Heartbeat heartbeat = KWB__WIRE__HEARTBEAT__INIT;
-	KWB_FRAME(frame, HEARTBEAT, heartbeat, heartbeat);
+	KWB_FRAME_DECLARE(frame, HEARTBEAT, heartbeat, heartbeat);
 
 	(void)tag;
 	heartbeat.lists_revision = kwb_current_lists_revision();
@@ -215,7 +215,7 @@
 	if (kwb_clock_now_ns() < atomic_load(&agent->status_until_ns) ||
 	    atomic_load(&agent->has_load_changed) ||
 	    atomic_fetch_add(&agent->unchanged_heartbeats, 1) %
-		    KWB_STATUS_BEATS ==
+		    KWB_STATUS_PERIOD_HEARTBEATS ==
 		0) {
 		status_fill(agent, &message);
 		heartbeat.status = &message.status;
@@ -340,7 +340,7 @@
 		if (digest != last_digest) {
 			atomic_store(&agent->status_until_ns,
 			    kwb_clock_now_ns() + STATUS_REPEAT_NS);
-			kwb_loop_beat(&agent->loop);
+			kwb_loop_heartbeat_now(&agent->loop);
 		}
 		last_digest = digest;
 		kwb_clock_sleep_ns(MONITOR_PERIOD_NS);
--- a/src/agent/handle.c
+++ b/src/agent/handle.c
@@ -142,7 +142,7 @@
 handle_find(struct kwb_agent *agent, uint64_t link, const Kwb__Wire__Find *find)
 {
 	Kwb__Wire__Found found = KWB__WIRE__FOUND__INIT;
-	KWB_FRAME(frame, FOUND, found, found);
+	KWB_FRAME_DECLARE(frame, FOUND, found, found);
 	Kwb__Wire__Held *held;
 	Kwb__Wire__Held **pointers;
 	unsigned i, count = 0, held_capacity;
@@ -350,7 +350,7 @@
     enum kwb_outcome outcome, int error)
 {
 	Kwb__Wire__Done done = KWB__WIRE__DONE__INIT;
-	KWB_FRAME(frame, DONE, done, done);
+	KWB_FRAME_DECLARE(frame, DONE, done, done);
 
 	done.request = request;
 	done.outcome = outcome;
@@ -367,7 +367,7 @@
     const Kwb__Wire__Run *run, int error)
 {
 	Kwb__Wire__Done done = KWB__WIRE__DONE__INIT;
-	KWB_FRAME(frame, DONE, done, done);
+	KWB_FRAME_DECLARE(frame, DONE, done, done);
 
 	done.request = run->request;
 	done.outcome = error == KWB_ERR_CALL_FORGOTTEN ? KWB_OUTCOME_UNKNOWN
@@ -385,7 +385,7 @@
 send_lists(struct kwb_agent *agent, uint64_t link)
 {
 	Kwb__Wire__Lists lists = KWB__WIRE__LISTS__INIT;
-	KWB_FRAME(frame, LISTS, lists, lists);
+	KWB_FRAME_DECLARE(frame, LISTS, lists, lists);
 	struct kwb_buf text;
 
 	kwb_buf_init(&text);
@@ -412,7 +412,7 @@
     struct kwb_agent *agent, struct job *job, struct attachment *attachment)
 {
 	Kwb__Wire__Progress progress = KWB__WIRE__PROGRESS__INIT;
-	KWB_FRAME(frame, PROGRESS, progress, progress);
+	KWB_FRAME_DECLARE(frame, PROGRESS, progress, progress);
 	struct wire_span_list spans;
 
 	if (attachment->sent_tokens >= job->tokens.count)
@@ -422,7 +422,7 @@
 	progress.tokens = job->tokens.text + attachment->sent_tokens;
 	progress.n_tokens = job->tokens.count - attachment->sent_tokens;
 	progress.n_spans =
-	    wire_spans(&job->tokens, attachment->sent_tokens, &spans);
+	    wire_spans_fill(&job->tokens, attachment->sent_tokens, &spans);
 	progress.spans = spans.pointers;
 	if (kwb_link_send(&agent->loop, attachment->link, &frame) == 0)
 		attachment->sent_tokens = job->tokens.count;
@@ -433,7 +433,7 @@
     const struct attachment *attachment)
 {
 	Kwb__Wire__Done done = KWB__WIRE__DONE__INIT;
-	KWB_FRAME(frame, DONE, done, done);
+	KWB_FRAME_DECLARE(frame, DONE, done, done);
 
 	done.request = attachment->request;
 	done.outcome = job->outcome;
--- a/src/agent/upstream.c
+++ b/src/agent/upstream.c
@@ -89,7 +89,7 @@
 	    .content_type = run->content_type,
 	    .body = run->body.len > 0 ? run->body.data : NULL,
 	    .body_bytes = run->body.len,
-	    .fresh = !run->idempotent,
+	    .needs_new_connection = !run->idempotent,
 	};
 	struct kwb_http_answer answer;
 	struct journal_shard *shard;
@@ -280,8 +280,9 @@
 }
 
 /*
- * Adds a token and sends it on, of samples at most every KWB_PROGRESS_NS.
- * Tokens whose version is assumed are not sent yet, as they may be discarded.
+ * Adds a token and sends it on, of samples at most every
+ * KWB_PROGRESS_PERIOD_NS. Tokens whose version is assumed are not sent yet, as
+ * they may be discarded.
  */
 static void
 stream_add_token(struct stream *stream, const char *text, uint64_t version)
@@ -294,7 +295,7 @@
 	kwb_tokens_add(&job->tokens, text, version);
 	kwb_metric_add(KWB_METRIC_TOKENS, 1);
 	if (now_ns >= job->next_progress_ns || !job_is_sample(job)) {
-		job->next_progress_ns = now_ns + KWB_PROGRESS_NS;
+		job->next_progress_ns = now_ns + KWB_PROGRESS_PERIOD_NS;
 		if (!stream->is_version_assumed)
 			job_send_progress(stream->agent, job);
 	}
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -151,7 +151,7 @@
 run_send(struct dispatch *dispatch)
 {
 	Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
-	KWB_FRAME(frame, RUN, run, run);
+	KWB_FRAME_DECLARE(frame, RUN, run, run);
 	struct call *call = dispatch->call;
 	struct target *target = &dispatch->target;
 
@@ -290,7 +290,7 @@
 query_send(struct dispatch *dispatch)
 {
 	Kwb__Wire__Query query = KWB__WIRE__QUERY__INIT;
-	KWB_FRAME(frame, QUERY, query, query);
+	KWB_FRAME_DECLARE(frame, QUERY, query, query);
 
 	dispatch->request = registry_open_request(&dispatch->entry->registry,
 	    &dispatch->inbox, dispatch->target.link, NULL);
--- a/src/call/generation.c
+++ b/src/call/generation.c
@@ -118,7 +118,7 @@
     struct kwb_entry *entry, struct generation *generation, bool keep)
 {
 	Kwb__Wire__Cancel cancel = KWB__WIRE__CANCEL__INIT;
-	KWB_FRAME(frame, CANCEL, cancel, cancel);
+	KWB_FRAME_DECLARE(frame, CANCEL, cancel, cancel);
 
 	if (generation->state != GENERATION_RUNNING)
 		return;
@@ -132,7 +132,7 @@
 generation_send(struct kwb_entry *entry, struct generation *generation)
 {
 	Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
-	KWB_FRAME(frame, RUN, run, run);
+	KWB_FRAME_DECLARE(frame, RUN, run, run);
 	struct wire_span_list spans;
 	struct target *target = &generation->target;
 	int error;
@@ -157,7 +157,7 @@
 	run.resume = generation->tokens.text;
 	run.n_resume = generation->tokens.count;
 	run.resume_spans = spans.pointers;
-	run.n_resume_spans = wire_spans(&generation->tokens, 0, &spans);
+	run.n_resume_spans = wire_spans_fill(&generation->tokens, 0, &spans);
 	run.slot = generation->slot;
 	error = kwb_link_send(&entry->loop, target->link, &frame);
 	if (error != 0) {
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -34,7 +34,7 @@
 {
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
 	Kwb__Wire__Lists lists = KWB__WIRE__LISTS__INIT;
-	KWB_FRAME(frame, LISTS, lists, lists);
+	KWB_FRAME_DECLARE(frame, LISTS, lists, lists);
 	struct kwb_buf text;
 	bool is_behind;
 
@@ -63,7 +63,7 @@
 {
 	struct kwb_entry *entry = context;
 	Kwb__Wire__Hello hello = KWB__WIRE__HELLO__INIT;
-	KWB_FRAME(frame, HELLO, hello, hello);
+	KWB_FRAME_DECLARE(frame, HELLO, hello, hello);
 
 	(void)tag;
 	hello.protocol = KWB_PROTOCOL;
@@ -146,15 +146,16 @@
 static uint64_t
 heartbeat_period_ns(const struct peers *peers)
 {
-	uint64_t links = 0, period_ns = KWB_HEARTBEAT_NS;
+	uint64_t links = 0, period_ns = KWB_HEARTBEAT_PERIOD_NS;
 	unsigned i;
 
 	for (i = 0; i < KWB_PEERS_MAX; i++)
 		links += peers->peers[i].is_connected;
-	if (links > KWB_HEARTBEAT_LINKS)
-		period_ns =
-		    (links - KWB_HEARTBEAT_LINKS) * KWB_HEARTBEAT_LINK_NS;
-	return period_ns > KWB_HEARTBEAT_NS ? period_ns : KWB_HEARTBEAT_NS;
+	if (links > KWB_HEARTBEAT_FULL_RATE_LINKS)
+		period_ns = (links - KWB_HEARTBEAT_FULL_RATE_LINKS) *
+		    KWB_HEARTBEAT_PERIOD_PER_LINK_NS;
+	return period_ns > KWB_HEARTBEAT_PERIOD_NS ? period_ns
+						   : KWB_HEARTBEAT_PERIOD_NS;
 }
 
 static void
@@ -163,7 +164,7 @@
 	struct kwb_entry *entry = context;
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
 	Kwb__Wire__Heartbeat heartbeat = KWB__WIRE__HEARTBEAT__INIT;
-	KWB_FRAME(frame, HEARTBEAT, heartbeat, heartbeat);
+	KWB_FRAME_DECLARE(frame, HEARTBEAT, heartbeat, heartbeat);
 	uint64_t period_ns;
 
 	pthread_mutex_lock(&entry->peers.lock);
@@ -173,7 +174,7 @@
 	heartbeat.lists_revision = kwb_current_lists_revision();
 	heartbeat.period_ms = (uint32_t)(period_ns / KWB_MS_NS);
 	kwb_link_send(&entry->loop, link, &frame);
-	kwb_link_pace(&entry->loop, link, period_ns);
+	kwb_link_set_heartbeat_period(&entry->loop, link, period_ns);
 }
 
 static void
--- a/src/member/peers.c
+++ b/src/member/peers.c
@@ -244,10 +244,10 @@
 		    now_ns < peer->next_reconnect_ns)
 			continue;
 		peer->reconnect_delay_ns *= 2;
-		if (peer->reconnect_delay_ns < KWB_RECONNECT_NS)
-			peer->reconnect_delay_ns = KWB_RECONNECT_NS;
-		if (peer->reconnect_delay_ns > KWB_RECONNECT_MAX_NS)
-			peer->reconnect_delay_ns = KWB_RECONNECT_MAX_NS;
+		if (peer->reconnect_delay_ns < KWB_RECONNECT_DELAY_MIN_NS)
+			peer->reconnect_delay_ns = KWB_RECONNECT_DELAY_MIN_NS;
+		if (peer->reconnect_delay_ns > KWB_RECONNECT_DELAY_MAX_NS)
+			peer->reconnect_delay_ns = KWB_RECONNECT_DELAY_MAX_NS;
 		peer->next_reconnect_ns = now_ns + peer->reconnect_delay_ns;
 		peer->is_connected = false;
 		kwb_loop_connect(&entry->loop, &peer->address, i, &peer->link);
--- a/src/platform/http.c
+++ b/src/platform/http.c
@@ -1,7 +1,7 @@
 /*
  * HTTP client over libcurl: one easy handle a thread, which keeps its
- * connection. A fresh request never goes over a kept connection, because
- * libcurl sends again by itself when a kept connection turns out dead.
+ * connection. A request that needs its own never goes over a kept connection,
+ * because libcurl sends again by itself when a kept connection turns out dead.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,12 +23,13 @@
 static pthread_once_t handle_once = PTHREAD_ONCE_INIT;
 
 static void handle_key_init(void);
-static CURL *handle_get(void);
+static CURL *handle_of_thread(void);
 static size_t on_body(char *data, size_t size, size_t count, void *context);
 static size_t on_header(char *data, size_t size, size_t count, void *context);
-static int on_wait(void *context, curl_off_t down_total, curl_off_t down,
+static int on_progress(void *context, curl_off_t down_total, curl_off_t down,
     curl_off_t up_total, curl_off_t up);
-static struct curl_slist *headers_for(const struct kwb_http_request *request);
+static struct curl_slist *headers_create(
+    const struct kwb_http_request *request);
 static void handle_prepare(
     CURL *curl, struct exchange *exchange, struct curl_slist *headers);
 
@@ -56,14 +57,14 @@
 {
 	struct exchange exchange = {request, answer};
 	struct curl_slist *headers;
-	CURL *curl = handle_get();
+	CURL *curl = handle_of_thread();
 	CURLcode code;
 
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
 	if (curl == NULL)
 		return KWB_ERR_MEMORY;
-	headers = headers_for(request);
+	headers = headers_create(request);
 	handle_prepare(curl, &exchange, headers);
 	code = curl_easy_perform(curl);
 	answer->sent = code != CURLE_COULDNT_CONNECT &&
@@ -94,7 +95,7 @@
 }
 
 static CURL *
-handle_get(void)
+handle_of_thread(void)
 {
 	CURL *curl = pthread_getspecific(handle_key);
 
@@ -106,7 +107,7 @@
 }
 
 static struct curl_slist *
-headers_for(const struct kwb_http_request *request)
+headers_create(const struct kwb_http_request *request)
 {
 	struct curl_slist *list = curl_slist_append(NULL, "Expect:");
 	char line[HEADER_MAX_BYTES];
@@ -116,15 +117,17 @@
 		    request->content_type);
 		list = curl_slist_append(list, line);
 	}
-	if (request->if_match != NULL && request->if_match[0] == '*') {
+	if (request->expected_revision != NULL &&
+	    request->expected_revision[0] == '*') {
 		list = curl_slist_append(list, "If-None-Match: *");
-	} else if (request->if_match != NULL) {
-		snprintf(line, sizeof(line), "If-Match: %s", request->if_match);
+	} else if (request->expected_revision != NULL) {
+		snprintf(line, sizeof(line), "If-Match: %s",
+		    request->expected_revision);
 		list = curl_slist_append(list, line);
 	}
-	if (request->if_changed != NULL) {
+	if (request->known_revision != NULL) {
 		snprintf(line, sizeof(line), "If-None-Match: %s",
-		    request->if_changed);
+		    request->known_revision);
 		list = curl_slist_append(list, line);
 	}
 	return list;
@@ -135,7 +138,7 @@
     CURL *curl, struct exchange *exchange, struct curl_slist *headers)
 {
 	const struct kwb_http_request *request = exchange->request;
-	long fresh = request->fresh ? 1 : 0;
+	long needs_new_connection = request->needs_new_connection ? 1 : 0;
 
 	curl_easy_reset(curl);
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
@@ -147,15 +150,15 @@
 	    (long)(request->timeout_ms ? request->timeout_ms
 				       : KWB_HTTP_TIMEOUT_MS));
 	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
-	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, fresh);
-	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, fresh);
+	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, needs_new_connection);
+	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, needs_new_connection);
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, exchange);
 	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, exchange);
 	if (request->should_stop != NULL) {
-		curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_wait);
+		curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
 		curl_easy_setopt(curl, CURLOPT_XFERINFODATA, exchange);
 		curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
 	}
@@ -179,14 +182,15 @@
 	if (request->on_data != NULL)
 		return request->on_data(request->context, data, length) ? length
 									: 0;
-	if (exchange->answer->body.used_bytes + length > KWB_BODY_MAX_BYTES)
+	if (exchange->answer->body.used_bytes + length >
+	    KWB_HTTP_BODY_MAX_BYTES)
 		return 0;
 	return kwb_buf_add(&exchange->answer->body, data, length) == 0 ? length
 								       : 0;
 }
 
 static int
-on_wait(void *context, curl_off_t down_total, curl_off_t down,
+on_progress(void *context, curl_off_t down_total, curl_off_t down,
     curl_off_t up_total, curl_off_t up)
 {
 	struct exchange *exchange = context;
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -1,7 +1,7 @@
 /*
  * Client of the platform: transactional table (compare-and-set on a row's
  * revision), object store, weight store and VM list. An answer lost after a
- * write took effect is found out by reading the row back.
+ * write took effect is row_revision out by reading the row back.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,14 +14,15 @@
 #define PATH_MAX_BYTES 512
 #define LISTS_KEY "lists"
 
-static int platform_do(const struct kwb_platform *platform, const char *method,
-    const char *path, const char *if_match, const void *body, size_t body_bytes,
-    struct kwb_http_answer *answer);
-static int platform_poll(const struct kwb_platform *platform, const char *path,
-    uint64_t known, struct kwb_http_answer *answer);
-static int status_error(long status);
-static int put_settled(const struct kwb_platform *platform, const char *key,
-    const char *value, size_t length_bytes, uint64_t *revision);
+static int platform_request(const struct kwb_platform *platform,
+    const char *method, const char *path, const char *expected_revision,
+    const void *body, size_t body_bytes, struct kwb_http_answer *answer);
+static int platform_get_if_changed(const struct kwb_platform *platform,
+    const char *path, uint64_t known_revision, struct kwb_http_answer *answer);
+static int error_of_status(long status);
+static int table_confirm_put(const struct kwb_platform *platform,
+    const char *key, const char *value, size_t length_bytes,
+    uint64_t *revision);
 static void vm_from_json(struct kwb_vm *vm, json_t *item);
 static void text_from_json(
     char *to, size_t room_bytes, json_t *item, const char *key);
@@ -41,14 +42,15 @@
 
 int
 kwb_table_poll(const struct kwb_platform *platform, const char *key,
-    uint64_t known, struct kwb_buf *value, uint64_t *revision)
+    uint64_t known_revision, struct kwb_buf *value, uint64_t *revision)
 {
 	struct kwb_http_answer answer;
 	char path[PATH_MAX_BYTES];
 	int error;
 
 	snprintf(path, sizeof(path), "/table/%s", key);
-	error = platform_poll(platform, path, known, &answer);
+	error =
+	    platform_get_if_changed(platform, path, known_revision, &answer);
 	if (error == 0) {
 		*revision = answer.revision;
 		error = kwb_buf_add(
@@ -60,23 +62,25 @@
 
 int
 kwb_table_put(const struct kwb_platform *platform, const char *key,
-    const char *value, size_t length_bytes, uint64_t expected,
+    const char *value, size_t length_bytes, uint64_t expected_revision,
     uint64_t *revision)
 {
 	struct kwb_http_answer answer;
-	char path[PATH_MAX_BYTES], match[32];
+	char path[PATH_MAX_BYTES], expected_text[32];
 	int error;
 
 	snprintf(path, sizeof(path), "/table/%s", key);
-	snprintf(match, sizeof(match), "%llu", (unsigned long long)expected);
-	error = platform_do(platform, "PUT", path, expected ? match : "*",
-	    value, length_bytes, &answer);
+	snprintf(expected_text, sizeof(expected_text), "%llu",
+	    (unsigned long long)expected_revision);
+	error = platform_request(platform, "PUT", path,
+	    expected_revision ? expected_text : "*", value, length_bytes,
+	    &answer);
 	*revision = answer.revision;
 	/* No answer, or a refusal that our own lost write may have caused. */
 	if ((error == KWB_ERR_PLATFORM_DOWN && answer.sent) ||
 	    error == KWB_ERR_PLATFORM_CONFLICT) {
-		if (put_settled(platform, key, value, length_bytes, revision) ==
-		    0)
+		if (table_confirm_put(
+			platform, key, value, length_bytes, revision) == 0)
 			error = 0;
 	}
 	kwb_http_answer_finish(&answer);
@@ -92,7 +96,7 @@
 	int error;
 
 	snprintf(path, sizeof(path), "/objects/%s", name);
-	error = platform_do(
+	error = platform_request(
 	    platform, "PUT", path, NULL, data, length_bytes, &answer);
 	kwb_http_answer_finish(&answer);
 	return error;
@@ -107,7 +111,7 @@
 	int error;
 
 	snprintf(path, sizeof(path), "/objects/%s", name);
-	error = platform_do(platform, "GET", path, NULL, NULL, 0, &answer);
+	error = platform_request(platform, "GET", path, NULL, NULL, 0, &answer);
 	if (error == 0)
 		error = kwb_buf_add(
 		    data, kwb_buf_text(&answer.body), answer.body.used_bytes);
@@ -124,7 +128,7 @@
 	int error;
 
 	snprintf(path, sizeof(path), "/weights/%s", model);
-	error = platform_do(platform, "GET", path, NULL, NULL, 0, &answer);
+	error = platform_request(platform, "GET", path, NULL, NULL, 0, &answer);
 	if (error == 0)
 		*version = strtoull(kwb_buf_text(&answer.body), NULL, 10);
 	kwb_http_answer_finish(&answer);
@@ -140,7 +144,8 @@
 	size_t i;
 	int error;
 
-	error = platform_poll(platform, "/vms", vms->revision, &answer);
+	error =
+	    platform_get_if_changed(platform, "/vms", vms->revision, &answer);
 	if (error == 0)
 		root = json_loads(kwb_buf_text(&answer.body), 0, NULL);
 	revision = answer.revision;
@@ -165,44 +170,46 @@
 }
 
 int
-kwb_lists_read(const struct kwb_platform *platform, uint64_t known,
+kwb_lists_read(const struct kwb_platform *platform, uint64_t known_revision,
     struct kwb_buf *text, uint64_t *revision)
 {
-	return kwb_table_poll(platform, LISTS_KEY, known, text, revision);
+	return kwb_table_poll(
+	    platform, LISTS_KEY, known_revision, text, revision);
 }
 
-/* Reads unless still at the known revision, which is told by a 1. */
+/* Reads unless still at the known_revision revision, which is told by a 1. */
 static int
-platform_poll(const struct kwb_platform *platform, const char *path,
-    uint64_t known, struct kwb_http_answer *answer)
+platform_get_if_changed(const struct kwb_platform *platform, const char *path,
+    uint64_t known_revision, struct kwb_http_answer *answer)
 {
 	char url[PATH_MAX_BYTES + KWB_URL_MAX_BYTES], revision[32];
 	struct kwb_http_request request = {
 	    .method = "GET",
 	    .url = url,
-	    .if_changed = known ? revision : NULL,
+	    .known_revision = known_revision ? revision : NULL,
 	    .timeout_ms = KWB_HTTP_TIMEOUT_MS,
 	};
 	int error;
 
 	snprintf(url, sizeof(url), "%s%s", platform->url, path);
-	snprintf(revision, sizeof(revision), "%llu", (unsigned long long)known);
+	snprintf(revision, sizeof(revision), "%llu",
+	    (unsigned long long)known_revision);
 	error = kwb_http_do(&request, answer);
 	if (error == 0 && answer->status == 304)
 		return 1;
-	return error ? error : status_error(answer->status);
+	return error ? error : error_of_status(answer->status);
 }
 
 static int
-platform_do(const struct kwb_platform *platform, const char *method,
-    const char *path, const char *if_match, const void *body, size_t body_bytes,
-    struct kwb_http_answer *answer)
+platform_request(const struct kwb_platform *platform, const char *method,
+    const char *path, const char *expected_revision, const void *body,
+    size_t body_bytes, struct kwb_http_answer *answer)
 {
 	char url[PATH_MAX_BYTES + KWB_URL_MAX_BYTES];
 	struct kwb_http_request request = {
 	    .method = method,
 	    .url = url,
-	    .if_match = if_match,
+	    .expected_revision = expected_revision,
 	    .body = body,
 	    .body_bytes = body_bytes,
 	    .timeout_ms = KWB_HTTP_TIMEOUT_MS,
@@ -211,11 +218,11 @@
 
 	snprintf(url, sizeof(url), "%s%s", platform->url, path);
 	error = kwb_http_do(&request, answer);
-	return error ? error : status_error(answer->status);
+	return error ? error : error_of_status(answer->status);
 }
 
 static int
-status_error(long status)
+error_of_status(long status)
 {
 	if (status >= 200 && status < 300)
 		return 0;
@@ -231,22 +238,22 @@
  * Values carry their writer's name, so another's write never looks like ours.
  */
 static int
-put_settled(const struct kwb_platform *platform, const char *key,
+table_confirm_put(const struct kwb_platform *platform, const char *key,
     const char *value, size_t length_bytes, uint64_t *revision)
 {
-	struct kwb_buf now;
-	uint64_t found = 0;
+	struct kwb_buf stored;
+	uint64_t row_revision = 0;
 	int error;
 
-	kwb_buf_init(&now);
-	error = kwb_table_get(platform, key, &now, &found);
+	kwb_buf_init(&stored);
+	error = kwb_table_get(platform, key, &stored, &row_revision);
 	if (error == 0 &&
-	    (now.used_bytes != length_bytes ||
-		memcmp(kwb_buf_text(&now), value, length_bytes) != 0))
+	    (stored.used_bytes != length_bytes ||
+		memcmp(kwb_buf_text(&stored), value, length_bytes) != 0))
 		error = KWB_ERR_PLATFORM_CONFLICT;
 	if (error == 0)
-		*revision = found;
-	kwb_buf_finish(&now);
+		*revision = row_revision;
+	kwb_buf_finish(&stored);
 	return error;
 }
 
--- a/src/rollout/step_pull.c
+++ b/src/rollout/step_pull.c
@@ -82,7 +82,7 @@
 	struct target *targets = calloc(KWB_PEERS_MAX, sizeof(*targets));
 	uint64_t requests[KWB_PEERS_MAX];
 	Kwb__Wire__Find find = KWB__WIRE__FIND__INIT;
-	KWB_FRAME(frame, FIND, find, find);
+	KWB_FRAME_DECLARE(frame, FIND, find, find);
 	struct kwb_entry *entry = step->entry;
 	uint64_t deadline_ns = kwb_clock_now_ns() + FIND_TIMEOUT_NS;
 	struct event *event;
--- a/src/weights/leader.c
+++ b/src/weights/leader.c
@@ -355,7 +355,7 @@
 {
 	struct kwb_entry *entry = leader->entry;
 	Kwb__Wire__Order wire = KWB__WIRE__ORDER__INIT;
-	KWB_FRAME(frame, ORDER, order, wire);
+	KWB_FRAME_DECLARE(frame, ORDER, order, wire);
 	struct open_order *order = NULL;
 	unsigned i;
 
--- a/src/weights/order.c
+++ b/src/weights/order.c
@@ -52,7 +52,7 @@
 	while ((order = order_next(agent)) != NULL) {
 		const Kwb__Wire__Order *wanted = order->frame->order;
 		Kwb__Wire__OrderReply reply = KWB__WIRE__ORDER_REPLY__INIT;
-		KWB_FRAME(frame, ORDER_REPLY, order_reply, reply);
+		KWB_FRAME_DECLARE(frame, ORDER_REPLY, order_reply, reply);
 
 		reply.request = wanted->request;
 		order_execute(agent, order, &reply);
--- a/src/wire/link.c
+++ b/src/wire/link.c
@@ -18,27 +18,27 @@
 #include "wire.h"
 
 #define EVENTS_MAX 64
-#define READ_BYTES 65536
-#define TICK_MS 50
+#define READ_CHUNK_BYTES 65536
+#define CHECK_PERIOD_MS 50
 #define LISTEN_BACKLOG 512
-#define SLOT_BITS 16
-#define LISTEN_TOKEN UINT64_MAX
+#define LINK_INDEX_BITS 16
+#define LISTEN_EVENT_ID UINT64_MAX
 
 static void *loop_run(void *argument);
 static void loop_accept(struct kwb_loop *loop);
-static void loop_tick(struct kwb_loop *loop);
+static void loop_check_links(struct kwb_loop *loop);
 static struct kwb_link *link_lock(struct kwb_loop *loop, uint64_t id);
-static int link_add(
-    struct kwb_loop *loop, int fd, uint32_t tag, bool connecting, uint64_t *id);
-static void link_ready(struct kwb_loop *loop, uint64_t id, uint32_t events);
+static int link_add(struct kwb_loop *loop, int fd, uint32_t tag,
+    bool is_connecting, uint64_t *id);
+static void link_on_event(struct kwb_loop *loop, uint64_t id, uint32_t events);
 static int link_read(struct kwb_loop *loop, uint64_t id);
 static int link_flush(struct kwb_loop *loop, struct kwb_link *link);
-static void link_watch(
+static void link_watch_writable(
     struct kwb_loop *loop, struct kwb_link *link, bool writable);
 static void link_drop(struct kwb_loop *loop, uint64_t id);
-static int socket_prepare(int fd);
-static uint64_t silence_of(const struct kwb_link *link);
-static bool is_control(const struct Kwb__Wire__Frame *frame);
+static int socket_set_options(int fd);
+static uint64_t link_silence_max_ns(const struct kwb_link *link);
+static bool frame_is_control(const struct Kwb__Wire__Frame *frame);
 
 int
 kwb_loop_init(
@@ -50,11 +50,11 @@
 	loop->ops = ops;
 	loop->context = context;
 	loop->listen_fd = -1;
-	loop->next_generation = 1;
+	loop->next_link_number = 1;
 	loop->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
 	if (loop->epoll_fd < 0)
 		return KWB_ERR_SYSTEM;
-	pthread_mutex_init(&loop->slots_lock, NULL);
+	pthread_mutex_init(&loop->links_lock, NULL);
 	for (i = 0; i < KWB_LINKS_MAX; i++)
 		pthread_mutex_init(&loop->links[i].lock, NULL);
 	return 0;
@@ -81,7 +81,7 @@
 		loop->listen_fd = -1;
 		return KWB_ERR_SYSTEM;
 	}
-	event.data.u64 = LISTEN_TOKEN;
+	event.data.u64 = LISTEN_EVENT_ID;
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, loop->listen_fd, &event);
 	return 0;
 }
@@ -99,7 +99,7 @@
 {
 	unsigned i;
 
-	loop->stopping = true;
+	loop->is_stopping = true;
 	pthread_join(loop->thread, NULL);
 	if (loop->listen_fd >= 0)
 		close(loop->listen_fd);
@@ -109,7 +109,7 @@
 		pthread_mutex_destroy(&loop->links[i].lock);
 	}
 	close(loop->epoll_fd);
-	pthread_mutex_destroy(&loop->slots_lock);
+	pthread_mutex_destroy(&loop->links_lock);
 }
 
 int
@@ -125,7 +125,7 @@
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return KWB_ERR_SYSTEM;
-	if (socket_prepare(fd) != 0 ||
+	if (socket_set_options(fd) != 0 ||
 	    (connect(fd, (struct sockaddr *)&in, sizeof(in)) != 0 &&
 		errno != EINPROGRESS)) {
 		close(fd);
@@ -139,20 +139,20 @@
     struct kwb_loop *loop, uint64_t id, const struct Kwb__Wire__Frame *frame)
 {
 	struct kwb_link *link = link_lock(loop, id);
-	size_t before;
+	size_t used_before_bytes;
 	int error;
 
 	if (link == NULL)
 		return KWB_ERR_WIRE_CLOSED;
-	before = link->out.used_bytes;
-	if (before > KWB_LINK_OUT_MAX_BYTES)
+	used_before_bytes = link->out.used_bytes;
+	if (used_before_bytes > KWB_LINK_SEND_BUFFER_MAX_BYTES)
 		error = KWB_ERR_WIRE_SIZE;
 	else
 		error = kwb_frame_pack(frame, &link->out);
-	if (error == 0 && is_control(frame))
-		kwb_metric_add(
-		    KWB_METRIC_CONTROL_BYTES, link->out.used_bytes - before);
-	if (error == 0 && before == 0 && !link->connecting)
+	if (error == 0 && frame_is_control(frame))
+		kwb_metric_add(KWB_METRIC_CONTROL_BYTES,
+		    link->out.used_bytes - used_before_bytes);
+	if (error == 0 && used_before_bytes == 0 && !link->is_connecting)
 		link_flush(loop, link);
 	pthread_mutex_unlock(&link->lock);
 	return error;
@@ -167,33 +167,35 @@
 	if (link == NULL)
 		return;
 	shutdown(link->fd, SHUT_RDWR);
-	link->silent_deadline_ns = 0;
+	link->silence_deadline_ns = 0;
 	pthread_mutex_unlock(&link->lock);
 }
 
 void
-kwb_link_pace(struct kwb_loop *loop, uint64_t id, uint64_t period_ns)
+kwb_link_set_heartbeat_period(
+    struct kwb_loop *loop, uint64_t id, uint64_t heartbeat_period_ns)
 {
 	struct kwb_link *link = link_lock(loop, id);
 
 	if (link == NULL)
 		return;
-	if (period_ns >= KWB_HEARTBEAT_NS && period_ns != link->period_ns) {
-		link->period_ns = period_ns;
-		link->silent_deadline_ns =
-		    kwb_clock_now_ns() + silence_of(link);
+	if (heartbeat_period_ns >= KWB_HEARTBEAT_PERIOD_NS &&
+	    heartbeat_period_ns != link->heartbeat_period_ns) {
+		link->heartbeat_period_ns = heartbeat_period_ns;
+		link->silence_deadline_ns =
+		    kwb_clock_now_ns() + link_silence_max_ns(link);
 	}
 	pthread_mutex_unlock(&link->lock);
 }
 
 void
-kwb_loop_beat(struct kwb_loop *loop)
+kwb_loop_heartbeat_now(struct kwb_loop *loop)
 {
 	unsigned i;
 
 	for (i = 0; i < KWB_LINKS_MAX; i++) {
 		pthread_mutex_lock(&loop->links[i].lock);
-		loop->links[i].heartbeat_deadline_ns = 0;
+		loop->links[i].next_heartbeat_ns = 0;
 		pthread_mutex_unlock(&loop->links[i].lock);
 	}
 }
@@ -203,23 +205,25 @@
 {
 	struct kwb_loop *loop = argument;
 	struct epoll_event events[EVENTS_MAX];
-	uint64_t tick_ns = 0;
+	uint64_t next_check_ns = 0;
 	int i, count;
 
 	kwb_current_lists_register_thread();
-	while (!loop->stopping) {
-		count = epoll_wait(loop->epoll_fd, events, EVENTS_MAX, TICK_MS);
+	while (!loop->is_stopping) {
+		count = epoll_wait(
+		    loop->epoll_fd, events, EVENTS_MAX, CHECK_PERIOD_MS);
 		for (i = 0; i < count; i++) {
-			if (events[i].data.u64 == LISTEN_TOKEN)
+			if (events[i].data.u64 == LISTEN_EVENT_ID)
 				loop_accept(loop);
 			else
-				link_ready(
+				link_on_event(
 				    loop, events[i].data.u64, events[i].events);
 		}
-		if (kwb_clock_now_ns() < tick_ns)
+		if (kwb_clock_now_ns() < next_check_ns)
 			continue;
-		tick_ns = kwb_clock_now_ns() + TICK_MS * KWB_MS_NS;
-		loop_tick(loop);
+		next_check_ns =
+		    kwb_clock_now_ns() + CHECK_PERIOD_MS * KWB_MS_NS;
+		loop_check_links(loop);
 	}
 	kwb_current_lists_unregister_thread();
 	return NULL;
@@ -232,7 +236,7 @@
 	int fd;
 
 	while ((fd = accept4(loop->listen_fd, NULL, NULL, SOCK_CLOEXEC)) >= 0) {
-		if (socket_prepare(fd) != 0) {
+		if (socket_set_options(fd) != 0) {
 			close(fd);
 			continue;
 		}
@@ -243,13 +247,13 @@
 }
 
 static void
-loop_tick(struct kwb_loop *loop)
+loop_check_links(struct kwb_loop *loop)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
 	uint64_t id;
 	uint32_t tag;
 	unsigned i;
-	bool beat, silent;
+	bool is_heartbeat_due, is_silent;
 
 	for (i = 0; i < KWB_LINKS_MAX; i++) {
 		struct kwb_link *link = &loop->links[i];
@@ -257,15 +261,16 @@
 		pthread_mutex_lock(&link->lock);
 		id = link->id;
 		tag = link->tag;
-		silent = id != 0 && now_ns >= link->silent_deadline_ns;
-		beat = id != 0 && !link->connecting &&
-		    now_ns >= link->heartbeat_deadline_ns;
-		if (beat)
-			link->heartbeat_deadline_ns = now_ns + link->period_ns;
+		is_silent = id != 0 && now_ns >= link->silence_deadline_ns;
+		is_heartbeat_due = id != 0 && !link->is_connecting &&
+		    now_ns >= link->next_heartbeat_ns;
+		if (is_heartbeat_due)
+			link->next_heartbeat_ns =
+			    now_ns + link->heartbeat_period_ns;
 		pthread_mutex_unlock(&link->lock);
-		if (silent)
+		if (is_silent)
 			link_drop(loop, id);
-		else if (beat)
+		else if (is_heartbeat_due)
 			loop->ops->on_heartbeat(loop->context, id, tag);
 	}
 }
@@ -274,12 +279,12 @@
 static struct kwb_link *
 link_lock(struct kwb_loop *loop, uint64_t id)
 {
-	unsigned slot = id & ((1u << SLOT_BITS) - 1);
+	unsigned link_index = id & ((1u << LINK_INDEX_BITS) - 1);
 	struct kwb_link *link;
 
-	if (id == 0 || slot >= KWB_LINKS_MAX)
+	if (id == 0 || link_index >= KWB_LINKS_MAX)
 		return NULL;
-	link = &loop->links[slot];
+	link = &loop->links[link_index];
 	pthread_mutex_lock(&link->lock);
 	if (link->id == id)
 		return link;
@@ -288,15 +293,15 @@
 }
 
 static int
-link_add(
-    struct kwb_loop *loop, int fd, uint32_t tag, bool connecting, uint64_t *id)
+link_add(struct kwb_loop *loop, int fd, uint32_t tag, bool is_connecting,
+    uint64_t *id)
 {
 	struct epoll_event event;
 	struct kwb_link *link = NULL;
 	uint64_t now_ns = kwb_clock_now_ns();
 	unsigned i;
 
-	pthread_mutex_lock(&loop->slots_lock);
+	pthread_mutex_lock(&loop->links_lock);
 	for (i = 0; i < KWB_LINKS_MAX && link == NULL; i++) {
 		pthread_mutex_lock(&loop->links[i].lock);
 		if (loop->links[i].id == 0)
@@ -305,51 +310,51 @@
 			pthread_mutex_unlock(&loop->links[i].lock);
 	}
 	if (link == NULL) {
-		pthread_mutex_unlock(&loop->slots_lock);
+		pthread_mutex_unlock(&loop->links_lock);
 		close(fd);
 		return KWB_ERR_MEMORY;
 	}
-	link->id = (loop->next_generation++ << SLOT_BITS) |
+	link->id = (loop->next_link_number++ << LINK_INDEX_BITS) |
 	    (uint64_t)(link - loop->links);
 	link->fd = fd;
 	link->tag = tag;
-	link->connecting = connecting;
-	link->writable_wanted = connecting;
-	link->period_ns = KWB_HEARTBEAT_NS;
-	link->silent_deadline_ns = now_ns + silence_of(link);
-	link->heartbeat_deadline_ns = now_ns + link->period_ns;
+	link->is_connecting = is_connecting;
+	link->is_watching_writable = is_connecting;
+	link->heartbeat_period_ns = KWB_HEARTBEAT_PERIOD_NS;
+	link->silence_deadline_ns = now_ns + link_silence_max_ns(link);
+	link->next_heartbeat_ns = now_ns + link->heartbeat_period_ns;
 	kwb_buf_init(&link->in);
 	kwb_buf_init(&link->out);
 	*id = link->id;
-	event.events = EPOLLIN | (connecting ? (uint32_t)EPOLLOUT : 0);
+	event.events = EPOLLIN | (is_connecting ? (uint32_t)EPOLLOUT : 0);
 	event.data.u64 = link->id;
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 	pthread_mutex_unlock(&link->lock);
-	pthread_mutex_unlock(&loop->slots_lock);
+	pthread_mutex_unlock(&loop->links_lock);
 	return 0;
 }
 
 static void
-link_ready(struct kwb_loop *loop, uint64_t id, uint32_t events)
+link_on_event(struct kwb_loop *loop, uint64_t id, uint32_t events)
 {
 	struct kwb_link *link = link_lock(loop, id);
 	uint32_t tag;
 	socklen_t length = sizeof(int);
 	int failure = 0;
-	bool opened = false;
+	bool is_opened = false;
 
 	if (link == NULL)
 		return;
 	tag = link->tag;
-	if ((events & EPOLLOUT) && link->connecting) {
+	if ((events & EPOLLOUT) && link->is_connecting) {
 		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &failure, &length);
-		opened = failure == 0;
-		link->connecting = false;
+		is_opened = failure == 0;
+		link->is_connecting = false;
 	}
 	if (failure == 0 && (events & EPOLLOUT))
 		failure = link_flush(loop, link);
 	pthread_mutex_unlock(&link->lock);
-	if (opened)
+	if (is_opened)
 		loop->ops->on_open(loop->context, id, tag);
 	if (failure == 0 && (events & (EPOLLIN | EPOLLHUP | EPOLLERR)))
 		failure = link_read(loop, id);
@@ -364,24 +369,26 @@
 	struct kwb_link *link = link_lock(loop, id);
 	struct Kwb__Wire__Frame *frame;
 	uint32_t tag;
-	ssize_t got;
+	ssize_t read_bytes;
 	int result;
 
 	if (link == NULL)
 		return 0;
 	tag = link->tag;
-	if (kwb_buf_reserve(&link->in, READ_BYTES) != 0) {
+	if (kwb_buf_reserve(&link->in, READ_CHUNK_BYTES) != 0) {
 		pthread_mutex_unlock(&link->lock);
 		return KWB_ERR_MEMORY;
 	}
-	got = read(link->fd, link->in.data + link->in.used_bytes, READ_BYTES);
-	if (got > 0) {
-		link->in.used_bytes += (size_t)got;
-		link->silent_deadline_ns =
-		    kwb_clock_now_ns() + silence_of(link);
+	read_bytes = read(
+	    link->fd, link->in.data + link->in.used_bytes, READ_CHUNK_BYTES);
+	if (read_bytes > 0) {
+		link->in.used_bytes += (size_t)read_bytes;
+		link->silence_deadline_ns =
+		    kwb_clock_now_ns() + link_silence_max_ns(link);
 	}
 	pthread_mutex_unlock(&link->lock);
-	if (got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR))
+	if (read_bytes == 0 ||
+	    (read_bytes < 0 && errno != EAGAIN && errno != EINTR))
 		return KWB_ERR_WIRE_CLOSED;
 	/* Only this thread touches link->in, so it needs no lock here. */
 	while ((result = kwb_frame_unpack(&link->in, &frame)) > 0)
@@ -392,31 +399,31 @@
 static int
 link_flush(struct kwb_loop *loop, struct kwb_link *link)
 {
-	ssize_t sent;
+	ssize_t sent_bytes;
 
 	while (link->out.used_bytes > 0) {
-		sent = send(link->fd, link->out.data, link->out.used_bytes,
-		    MSG_NOSIGNAL);
-		if (sent < 0 && errno == EINTR)
+		sent_bytes = send(link->fd, link->out.data,
+		    link->out.used_bytes, MSG_NOSIGNAL);
+		if (sent_bytes < 0 && errno == EINTR)
 			continue;
-		if (sent < 0 && errno != EAGAIN)
+		if (sent_bytes < 0 && errno != EAGAIN)
 			return KWB_ERR_WIRE_CLOSED;
-		if (sent < 0)
+		if (sent_bytes < 0)
 			break;
-		kwb_buf_consume(&link->out, (size_t)sent);
+		kwb_buf_consume(&link->out, (size_t)sent_bytes);
 	}
-	link_watch(loop, link, link->out.used_bytes > 0);
+	link_watch_writable(loop, link, link->out.used_bytes > 0);
 	return 0;
 }
 
 static void
-link_watch(struct kwb_loop *loop, struct kwb_link *link, bool writable)
+link_watch_writable(struct kwb_loop *loop, struct kwb_link *link, bool writable)
 {
 	struct epoll_event event;
 
-	if (link->writable_wanted == writable)
+	if (link->is_watching_writable == writable)
 		return;
-	link->writable_wanted = writable;
+	link->is_watching_writable = writable;
 	event.events = EPOLLIN | (writable ? (uint32_t)EPOLLOUT : 0);
 	event.data.u64 = link->id;
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, link->fd, &event);
@@ -441,7 +448,7 @@
 }
 
 static int
-socket_prepare(int fd)
+socket_set_options(int fd)
 {
 	int on = 1;
 
@@ -453,7 +460,7 @@
 
 /* Control frames are those that no single request causes. */
 static bool
-is_control(const struct Kwb__Wire__Frame *frame)
+frame_is_control(const struct Kwb__Wire__Frame *frame)
 {
 	switch (frame->body_case) {
 	case KWB__WIRE__FRAME__BODY_HELLO:
@@ -467,9 +474,9 @@
 	}
 }
 
-/* How long a link may be silent. */
+/* How long a link may be is_silent. */
 static uint64_t
-silence_of(const struct kwb_link *link)
+link_silence_max_ns(const struct kwb_link *link)
 {
-	return KWB_LINK_SILENT_BEATS * link->period_ns;
+	return KWB_LINK_TIMEOUT_HEARTBEATS * link->heartbeat_period_ns;
 }
--- a/src/wire/spans.c
+++ b/src/wire/spans.c
@@ -6,7 +6,7 @@
 
 /* Fills in the spans of the tokens from first on; returns how many. */
 unsigned
-wire_spans(const struct kwb_tokens *tokens, uint32_t first,
+wire_spans_fill(const struct kwb_tokens *tokens, uint32_t first,
     struct wire_span_list *list)
 {
 	Kwb__Wire__Span *last = NULL;
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -15,11 +15,11 @@
 	Kwb__Wire__Span *pointers[WIRE_SPANS_MAX];
 };
 
-unsigned wire_spans(const struct kwb_tokens *tokens, uint32_t first,
+unsigned wire_spans_fill(const struct kwb_tokens *tokens, uint32_t first,
     struct wire_span_list *list);
 
 /* Declares frame f of body kind CASE that holds message m. */
-#define KWB_FRAME(f, CASE, field, m)                                           \
+#define KWB_FRAME_DECLARE(f, CASE, field, m)                                   \
 	Kwb__Wire__Frame f = KWB__WIRE__FRAME__INIT;                           \
 	f.body_case = KWB__WIRE__FRAME__BODY_##CASE;                           \
 	f.field = &(m)
--- a/tests/contract.c
+++ b/tests/contract.c
@@ -125,9 +125,9 @@
 	client_open(&client, PORT_SHOP);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
-		KWB_FRAME(run_frame, RUN, run, run);
+		KWB_FRAME_DECLARE(run_frame, RUN, run, run);
 		Kwb__Wire__Query query = KWB__WIRE__QUERY__INIT;
-		KWB_FRAME(query_frame, QUERY, query, query);
+		KWB_FRAME_DECLARE(query_frame, QUERY, query, query);
 		Kwb__Wire__Frame *answer;
 		char detail[96];
 
@@ -188,7 +188,7 @@
 	client_open(&client, PORT_LLM);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Order order = KWB__WIRE__ORDER__INIT;
-		KWB_FRAME(frame, ORDER, order, order);
+		KWB_FRAME_DECLARE(frame, ORDER, order, order);
 		Kwb__Wire__Frame *answer;
 
 		order.request = i + 1;
@@ -218,7 +218,7 @@
 	client_open(&client, PORT_LLM);
 	{
 		Kwb__Wire__Order order = KWB__WIRE__ORDER__INIT;
-		KWB_FRAME(frame, ORDER, order, order);
+		KWB_FRAME_DECLARE(frame, ORDER, order, order);
 		Kwb__Wire__Frame *answer;
 
 		order.request = 1;
@@ -261,9 +261,9 @@
 	client_open(&client, PORT_LLM);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
-		KWB_FRAME(run_frame, RUN, run, run);
+		KWB_FRAME_DECLARE(run_frame, RUN, run, run);
 		Kwb__Wire__Find find = KWB__WIRE__FIND__INIT;
-		KWB_FRAME(find_frame, FIND, find, find);
+		KWB_FRAME_DECLARE(find_frame, FIND, find, find);
 		Kwb__Wire__Slot slot = KWB__WIRE__SLOT__INIT;
 		Kwb__Wire__Frame *answer;
 		char key[16];
@@ -308,9 +308,9 @@
 check_swap(void)
 {
 	Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
-	KWB_FRAME(run_frame, RUN, run, run);
+	KWB_FRAME_DECLARE(run_frame, RUN, run, run);
 	Kwb__Wire__Order order = KWB__WIRE__ORDER__INIT;
-	KWB_FRAME(order_frame, ORDER, order, order);
+	KWB_FRAME_DECLARE(order_frame, ORDER, order, order);
 	Kwb__Wire__Frame *answer;
 	struct client client;
 	uint64_t first = 0, last = 0;
@@ -372,7 +372,7 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Heartbeat heartbeat = KWB__WIRE__HEARTBEAT__INIT;
-		KWB_FRAME(frame, HEARTBEAT, heartbeat, heartbeat);
+		KWB_FRAME_DECLARE(frame, HEARTBEAT, heartbeat, heartbeat);
 		struct client client;
 
 		client_open(&client, PORT_LLM);
@@ -412,7 +412,7 @@
 	    {"its end lets more be taken", 0, 6000, 9, 9},
 	};
 	Kwb__Wire__Lists lists = KWB__WIRE__LISTS__INIT;
-	KWB_FRAME(frame, LISTS, lists, lists);
+	KWB_FRAME_DECLARE(frame, LISTS, lists, lists);
 	struct client client;
 	size_t i;
 
@@ -498,7 +498,7 @@
 {
 	struct sockaddr_in in = {.sin_family = AF_INET};
 	Kwb__Wire__Hello hello = KWB__WIRE__HELLO__INIT;
-	KWB_FRAME(frame, HELLO, hello, hello);
+	KWB_FRAME_DECLARE(frame, HELLO, hello, hello);
 	Kwb__Wire__Frame *answer;
 
 	memset(client, 0, sizeof(*client));
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -406,7 +406,7 @@
 	    {"\0\0", 2, 0},
 	};
 	Kwb__Wire__Query query = KWB__WIRE__QUERY__INIT;
-	KWB_FRAME(frame, QUERY, query, query);
+	KWB_FRAME_DECLARE(frame, QUERY, query, query);
 	Kwb__Wire__Frame *out;
 	struct kwb_buf packed, in;
 	size_t i;
