--- a/cli/files.c
+++ b/cli/files.c
@@ -1,5 +1,5 @@
 /*
- * kwbctl: get, check, diff, apply, edit, history.
+ * kwbctl: the subcommands that read and change lists, all but status.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 #include "../src/core/yaml.h"
 #include "ctl.h"
 
-#define HISTORY_DEFAULT 10
+#define HISTORY_DEFAULT 10 /* revisions */
 
 static int lists_move_missing(struct kwb_lists *to, struct kwb_lists *from);
 static void lists_copy_missing(
@@ -108,7 +108,7 @@
 		return ctl_print_error(error, "apply");
 	ctl_files_load(ctl, &files, &lists, &faults);
 	if (lists != NULL) {
-		/* A file without a revision was edited from the newest. */
+		/* Without a revision, it was edited from the current one. */
 		if (lists->revision == 0)
 			lists->revision = current->revision;
 		lists_copy_missing(lists, current);
@@ -123,7 +123,7 @@
 	return code;
 }
 
-/* Writes the lists, tells of a conflict, and waits for them in force. */
+/* Prints a conflict with another edit, if there is one. */
 int
 ctl_publish(struct ctl *ctl, const struct kwb_lists *ours)
 {
@@ -210,7 +210,7 @@
 	return EXIT_DONE;
 }
 
-/* Loads all files into one pair of lists. */
+/* Plans and allowances may each come from one file only. */
 int
 ctl_files_load(struct ctl *ctl, struct ctl_files *files,
     struct kwb_lists **lists, struct kwb_faults *faults)
@@ -239,8 +239,9 @@
 			continue;
 		}
 		if (lists_move_missing(*lists, parsed) != 0)
-			kwb_faults_add(
-			    faults, "%s: list given twice", source->file);
+			kwb_faults_add(faults,
+			    "%s: another file already has plans or allowances",
+			    source->file);
 	}
 	return faults->count == 0 && *lists != NULL ? 0 : KWB_ERR_LISTS_INVALID;
 }
@@ -264,7 +265,10 @@
 		fprintf(stderr, "%s\n", faults->text[i]);
 }
 
-/* Moves what one side lacks over to it; from is used up. */
+/*
+ * Moves a list that is empty in to from the other lists, which are then freed.
+ * KWB_ERR_LISTS_INVALID if both sides have entries in a list.
+ */
 static int
 lists_move_missing(struct kwb_lists *to, struct kwb_lists *from)
 {
@@ -292,7 +296,7 @@
 	return error;
 }
 
-/* A list that no file gives stays as it is. */
+/* A list that is in no file is taken from the current lists. */
 static void
 lists_copy_missing(struct kwb_lists *to, const struct kwb_lists *from)
 {
@@ -311,6 +315,7 @@
 	kwb_buf_finish(&ignored);
 }
 
+/* Prints the lists as YAML with the edits that the arguments name. */
 static int
 print_edited(
     const struct kwb_lists *lists, struct ctl *ctl, struct kwb_buf *text)
@@ -334,8 +339,8 @@
 }
 
 /*
- * Replaces a field in the printed form, which has one field a line and the
- * naming field first in each entry.
+ * Replaces a field in printed lists by an assignment FIELD=VALUE. Relies on
+ * kwb_lists_print: one field on each line, the name of an entry first.
  */
 static bool
 replace_field(struct kwb_buf *text, const char *list, const char *name,
--- a/cli/kwbctl.c
+++ b/cli/kwbctl.c
@@ -1,6 +1,6 @@
 /*
- * kwbctl: the operators' command line. The system is driven by editing two
- * lists and by nothing else.
+ * kwbctl: the operators' command line. All changes to the running system are
+ * made by editing its two lists, plans and allowances.
  */
 #include <getopt.h>
 #include <stdio.h>
@@ -13,24 +13,25 @@
 
 static const struct command {
 	const char *name;
-	int (*run)(struct ctl *ctl);
+	int (*run)(struct ctl *ctl); /* returns the exit code */
 	const char *usage;
 	const char *help;
 } commands[] = {
     {"get", ctl_get, "get [plans|allowances]",
 	"Prints the two lists in force as YAML, with their revision."},
     {"check", ctl_check, "check FILE...",
-	"Checks lists in files and reports every fault; changes nothing."},
+	"Checks lists in files and reports all faults; changes nothing."},
     {"diff", ctl_diff, "diff FILE...",
-	"Shows what applying the files would change; exit 1 if anything."},
+	"Shows what applying the files would change; exits 1 if anything."},
     {"apply", ctl_apply, "apply FILE...",
-	"Puts lists in force. A file's revision names what it was edited "
-	"from;\nlater edits of other entries are kept. Prints where the new "
-	"revision is\nin force and after how long."},
+	"Applies lists from files. The revision in a file is the one that "
+	"it was\nedited from; later edits of other entries are kept. Prints "
+	"at how many\nentries and agents the new revision is in force, and "
+	"after how long."},
     {"edit", ctl_edit, "edit plan|allowance NAME FIELD=VALUE...",
-	"Changes fields of one entry of a list and applies that."},
+	"Changes fields of one entry of a list and applies the change."},
     {"history", ctl_history, "history [COUNT]",
-	"Shows the last revisions and what each changed."},
+	"Shows the newest revisions and what each changed."},
     {"status", ctl_status, "status",
 	"Shows entries, agents, revision in force, versions and shares."},
 };
@@ -69,7 +70,8 @@
 			ctl.is_json = strcmp(optarg, "json") == 0;
 			if (ctl.is_json || strcmp(optarg, "text") == 0)
 				break;
-			fprintf(stderr, "kwbctl: --output is text or json\n");
+			fprintf(
+			    stderr, "kwbctl: --output must be text or json\n");
 			return EXIT_USAGE;
 		case 'w':
 			ctl.wait_ms = (uint32_t)strtoul(optarg, NULL, 10);
@@ -99,7 +101,7 @@
 	}
 	if (url == NULL && command->run != ctl_check) {
 		fprintf(stderr,
-		    "kwbctl: name the platform with --platform URL or "
+		    "kwbctl: no platform given: use --platform URL or set "
 		    "KWB_PLATFORM\n");
 		return EXIT_USAGE;
 	}
--- a/cli/status.c
+++ b/cli/status.c
@@ -1,5 +1,5 @@
 /*
- * kwbctl: what entries and agents say of themselves.
+ * kwbctl: status of entries and agents, and whether a revision is in force.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,11 +14,12 @@
 #define STATUS_TIMEOUT_MS 1000
 #define POLL_PERIOD_NS (50 * KWB_MS_NS)
 
+/* How far a revision has come. */
 struct revision_counts {
 	unsigned entries;
 	unsigned unreachable_entries;
-	unsigned agents;
-	unsigned behind; /* entries and agents below the revision */
+	unsigned agents; /* connected to a reachable entry */
+	unsigned behind; /* entries and agents that have an older one */
 };
 
 static json_t *entry_read_status(const struct kwb_vm *vm);
@@ -61,7 +62,7 @@
 	return EXIT_DONE;
 }
 
-/* Waits until every entry and agent that answers has the revision. */
+/* In force: all entries can be reached, and they and all agents have it. */
 int
 ctl_wait_in_force(struct ctl *ctl, uint64_t revision)
 {
@@ -123,7 +124,7 @@
 	free(vms);
 }
 
-/* An agent counts once, however many entries know it. */
+/* Counts an entry and its agents; an agent of many entries counts once. */
 static void
 revision_counts_add(json_t *status, uint64_t revision, json_t *agents,
     struct revision_counts *counts)
@@ -148,6 +149,7 @@
 	}
 }
 
+/* Returns the JSON of an entry's /status; NULL if it can't be reached. */
 static json_t *
 entry_read_status(const struct kwb_vm *vm)
 {
--- a/daemons/daemon.c
+++ b/daemons/daemon.c
@@ -1,5 +1,5 @@
 /*
- * What the daemons share: options and waiting for a stop signal.
+ * Shared by the daemons: command-line options and signals.
  */
 #include <getopt.h>
 #include <signal.h>
@@ -23,18 +23,18 @@
 
 bool
 daemon_options_parse(
-    struct daemon_options *options, int argc, char **argv, int *code)
+    struct daemon_options *options, int argc, char **argv, int *exit_code)
 {
 	int option;
 
 	memset(options, 0, sizeof(*options));
 	options->log_level = KWB_LOG_INFO;
-	*code = 0;
+	*exit_code = 0;
 	while ((option = getopt_long(
 		    argc, argv, "s:cdvh", long_options, NULL)) != -1) {
 		switch (option) {
 		case 's':
-			options->settings = optarg;
+			options->settings_file = optarg;
 			break;
 		case 'c':
 			options->is_check_only = true;
@@ -50,14 +50,14 @@
 			return false;
 		default:
 			usage(stderr, argv[0]);
-			*code = EXIT_USAGE;
+			*exit_code = EXIT_USAGE;
 			return false;
 		}
 	}
-	if (options->settings != NULL && optind == argc)
+	if (options->settings_file != NULL && optind == argc)
 		return true;
 	usage(stderr, argv[0]);
-	*code = EXIT_USAGE;
+	*exit_code = EXIT_USAGE;
 	return false;
 }
 
@@ -73,25 +73,25 @@
 void
 daemon_signals_block(void)
 {
-	sigset_t set;
+	sigset_t signals;
 
-	sigemptyset(&set);
-	sigaddset(&set, SIGTERM);
-	sigaddset(&set, SIGINT);
-	sigaddset(&set, SIGPIPE);
-	pthread_sigmask(SIG_BLOCK, &set, NULL);
+	sigemptyset(&signals);
+	sigaddset(&signals, SIGTERM);
+	sigaddset(&signals, SIGINT);
+	sigaddset(&signals, SIGPIPE);
+	pthread_sigmask(SIG_BLOCK, &signals, NULL);
 }
 
 void
 daemon_wait_for_signal(void)
 {
-	sigset_t set;
-	int number;
+	sigset_t signals;
+	int signal_number;
 
-	sigemptyset(&set);
-	sigaddset(&set, SIGTERM);
-	sigaddset(&set, SIGINT);
-	sigwait(&set, &number);
+	sigemptyset(&signals);
+	sigaddset(&signals, SIGTERM);
+	sigaddset(&signals, SIGINT);
+	sigwait(&signals, &signal_number);
 }
 
 static void
@@ -100,8 +100,8 @@
 	fprintf(out,
 	    "usage: %s --settings FILE [--check] [--debug]\n"
 	    "  --settings FILE  YAML settings of this process\n"
-	    "  --check          check the settings, then end\n"
-	    "  --debug          log more\n"
-	    "  --version        print the version, then end\n",
+	    "  --check          check the settings, then exit\n"
+	    "  --debug          log at debug level\n"
+	    "  --version        print the version, then exit\n",
 	    program);
 }
--- a/daemons/kwb-entry.c
+++ b/daemons/kwb-entry.c
@@ -1,5 +1,5 @@
 /*
- * kwb-entry: thin daemon around the entry of libkwb.
+ * kwb-entry: runs an entry of libkwb until SIGTERM or SIGINT.
  */
 #include "daemon.h"
 
@@ -14,8 +14,8 @@
 
 	if (!daemon_options_parse(&options, argc, argv, &code))
 		return code;
-	if (kwb_entry_settings_load(&settings, options.settings, &faults) !=
-	    0) {
+	if (kwb_entry_settings_load(
+		&settings, options.settings_file, &faults) != 0) {
 		daemon_faults_print(&faults);
 		return 1;
 	}
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -373,40 +373,65 @@
 /* Appends the document as received; KWB_ERR_LISTS_NONE before the first. */
 int kwb_current_lists_text(struct kwb_buf *out, uint64_t *revision);
 
-/* ---- HTTP client ------------------------------------------------------ */
+/* ---- HTTP client ------------------------------------------------------
+ *
+ * Blocking HTTP requests to the platform and to upstreams. Each thread has its
+ * own connection, which is kept open between its requests.
+ */
 
 struct kwb_http_request {
 	const char *method;
 	const char *url;
-	const char *content_type;
-	const char *expected_revision; /* revision text, "*" for insert only */
-	const char *known_revision;    /* revision text already known */
-	const void *body;
+	const char *content_type;      /* NULL for no such header */
+	const char *expected_revision; /* If-Match; "*" only inserts */
+	const char *known_revision;    /* If-None-Match: 304 if unchanged */
+	const void *body;	       /* NULL for none */
 	size_t body_bytes;
-	uint32_t timeout_ms;
-	bool needs_new_connection; /* never reuse a connection, so never resend
-				      inside */
+	uint32_t timeout_ms; /* of the whole exchange; 0 for the default */
+	/*
+	 * For requests that must not run twice: libcurl resends a request by
+	 * itself when a kept connection turns out to be closed.
+	 */
+	bool needs_new_connection;
+	/* Gets the body in pieces if set; false aborts the exchange. */
 	bool (*on_data)(void *context, const char *data, size_t length_bytes);
-	bool (*should_stop)(void *context); /* asked while nothing arrives */
-	void *context;
+	/* Called regularly, also while no data arrives; true aborts. */
+	bool (*should_stop)(void *context);
+	void *context; /* passed to both callbacks */
 };
 
 struct kwb_http_answer {
-	long status; /* 0 when no whole answer came */
-	bool sent;   /* false when the request surely never left */
-	uint64_t revision;
+	long status;	   /* 0 unless the whole answer was received */
+	bool sent;	   /* false only if certainly nothing was sent */
+	uint64_t revision; /* from the ETag; 0 for none */
 	char content_type[KWB_NAME_MAX_BYTES];
-	struct kwb_buf body;
+	struct kwb_buf body; /* empty if on_data is set */
 };
 
-void kwb_http_init(void);   /* once, before threads */
-void kwb_http_finish(void); /* once, at the end */
-int kwb_http_do(const struct kwb_http_request *request,
-    struct kwb_http_answer
-	*answer); /* one exchange; finish the answer in any case */
+/* Initializes the client; once per process, before threads start. */
+void kwb_http_init(void);
+
+/* Frees what the process and the calling thread hold; once, at the end. */
+void kwb_http_finish(void);
+
+/*
+ * Sends a request and waits for the answer, which must be finished also after
+ * an error. Returns 0 for an answer of any status, KWB_ERR_PLATFORM_DOWN for
+ * none, a timeout, an abort or a body over KWB_HTTP_BODY_MAX_BYTES, or
+ * KWB_ERR_MEMORY.
+ */
+int kwb_http_do(
+    const struct kwb_http_request *request, struct kwb_http_answer *answer);
+
 void kwb_http_answer_finish(struct kwb_http_answer *answer); /* frees it */
 
-/* ---- Platform: table, object store, weight store, VM list ------------- */
+/* ---- Platform: table, object store, weight store, VM list -------------
+ *
+ * Client of the platform's services. Its functions return 0,
+ * KWB_ERR_PLATFORM_MISSING if there is no such row or object,
+ * KWB_ERR_PLATFORM_CONFLICT if the row is at another revision, or
+ * KWB_ERR_PLATFORM_DOWN. Each change of a row raises its revision.
+ */
 
 struct kwb_platform {
 	char url[KWB_URL_MAX_BYTES];
@@ -414,105 +439,167 @@
 
 enum kwb_vm_state { KWB_VM_LIVE, KWB_VM_LEAVING };
 
+/* A VM that runs an entry or an agent. */
 struct kwb_vm {
 	char vm[KWB_NAME_MAX_BYTES];
 	char failure_domain[KWB_NAME_MAX_BYTES];
-	char role[KWB_NAME_MAX_BYTES];
-	char pool[KWB_NAME_MAX_BYTES];
-	struct kwb_address address;
+	char role[KWB_NAME_MAX_BYTES]; /* "entry" or "agent" */
+	char pool[KWB_NAME_MAX_BYTES]; /* of agents with the same models */
+	struct kwb_address address;    /* where its process listens */
 	enum kwb_vm_state state;
 };
 
 struct kwb_vms {
-	uint32_t count;
-	uint64_t revision; /* of the list, by the platform */
+	uint32_t count;	   /* VMs over KWB_VMS_MAX are left out */
+	uint64_t revision; /* of the list, by the platform; 0 before a read */
 	struct kwb_vm vms[KWB_VMS_MAX];
 };
 
-void kwb_platform_init(
-    struct kwb_platform *platform, const char *url); /* names the platform */
+/* Sets the platform's base URL; sends nothing. */
+void kwb_platform_init(struct kwb_platform *platform, const char *url);
+
+/* Appends a row's value and sets its revision. */
 int kwb_table_get(const struct kwb_platform *platform, const char *key,
-    struct kwb_buf *value, uint64_t *revision); /* a row and its revision */
+    struct kwb_buf *value, uint64_t *revision);
+
+/* As kwb_table_get, but returns 1 if the row is still at known_revision. */
 int kwb_table_poll(const struct kwb_platform *platform, const char *key,
-    uint64_t known, struct kwb_buf *value,
-    uint64_t *revision); /* 1 when the row is still at the known revision */
+    uint64_t known_revision, struct kwb_buf *value, uint64_t *revision);
+
+/*
+ * Writes a row if it is at expected_revision, or inserts it if that is 0, and
+ * sets its new revision. If the answer is lost, the row is read back to learn
+ * whether the write took effect.
+ */
 int kwb_table_put(const struct kwb_platform *platform, const char *key,
     const char *value, size_t length_bytes, uint64_t expected_revision,
-    uint64_t *revision); /* expected_revision 0 inserts only; lost answers read
-			    back */
+    uint64_t *revision);
+
+/* Writes an object. */
 int kwb_object_put(const struct kwb_platform *platform, const char *name,
-    const char *data, size_t length_bytes); /* writes an object */
+    const char *data, size_t length_bytes);
+
+/* Appends an object's content. */
 int kwb_object_get(const struct kwb_platform *platform, const char *name,
-    struct kwb_buf *data); /* reads an object */
-int kwb_weights_newest(const struct kwb_platform *platform, const char *model,
-    uint64_t *version); /* newest published version of a model */
-int kwb_vms_get(const struct kwb_platform *platform,
-    struct kwb_vms *vms); /* 1 when unchanged since vms->revision */
-int kwb_lists_read(const struct kwb_platform *platform, uint64_t known,
-    struct kwb_buf *text, uint64_t *revision); /* as kwb_table_poll */
+    struct kwb_buf *data);
+
+/* Reads the newest published weight version of a model. */
+int kwb_weights_newest(
+    const struct kwb_platform *platform, const char *model, uint64_t *version);
+
+/* Reads the list of VMs; returns 1 if it is still at vms->revision. */
+int kwb_vms_get(const struct kwb_platform *platform, struct kwb_vms *vms);
 
-/* ---- Wire: framed links between entries and agents -------------------- */
+/* Reads the row of the two lists, as kwb_table_poll. */
+int kwb_lists_read(const struct kwb_platform *platform, uint64_t known_revision,
+    struct kwb_buf *text, uint64_t *revision);
+
+/* ---- Wire: framed links between entries and agents --------------------
+ *
+ * A frame is one protobuf message with a length prefix. A link is a TCP
+ * connection that carries frames both ways; a loop serves many links on one
+ * thread. A link that receives nothing for KWB_LINK_TIMEOUT_HEARTBEATS
+ * heartbeat periods is closed.
+ */
 
 struct Kwb__Wire__Frame;
 
+/*
+ * Callbacks of a loop, called on its thread with no link locked; on_close also
+ * on the thread that finishes the loop.
+ */
 struct kwb_link_ops {
-	void (*on_open)(void *context, uint64_t link, uint32_t tag);
-	void (*on_frame)(void *context, uint64_t link, uint32_t tag,
+	void (*on_open)(void *context, uint64_t link_id, uint32_t tag);
+	void (*on_frame)(void *context, uint64_t link_id, uint32_t tag,
 	    struct Kwb__Wire__Frame *frame); /* the callee frees the frame */
-	void (*on_close)(void *context, uint64_t link, uint32_t tag);
-	void (*on_heartbeat)(void *context, uint64_t link, uint32_t tag);
+	void (*on_close)(void *context, uint64_t link_id, uint32_t tag);
+	/* A heartbeat is due; the callee sends it. */
+	void (*on_heartbeat)(void *context, uint64_t link_id, uint32_t tag);
 };
 
 struct kwb_link {
 	pthread_mutex_t lock;
-	uint64_t id; /* 0 when the slot is free */
+	uint64_t id; /* never used again; 0 if this place is free */
 	int fd;
-	uint32_t tag;
+	uint32_t tag; /* the caller's number of a peer; 0 if accepted */
 	bool is_connecting;
-	bool is_watching_writable;
-	uint64_t heartbeat_period_ns; /* between heartbeats, at both ends */
-	uint64_t silence_deadline_ns;
-	uint64_t next_heartbeat_ns;
-	struct kwb_buf in;
-	struct kwb_buf out;
+	bool is_watching_writable; /* epoll reports when it can be written */
+	uint64_t heartbeat_period_ns;
+	uint64_t silence_deadline_ns; /* closed unless data arrives by then */
+	uint64_t next_heartbeat_ns;   /* when the next one is due */
+	struct kwb_buf receive_buffer;
+	struct kwb_buf send_buffer;
 };
 
+/* An event loop: a thread and the links that it serves. */
 struct kwb_loop {
 	const struct kwb_link_ops *ops;
-	void *context;
+	void *context; /* passed to the callbacks */
 	int epoll_fd;
-	int listen_fd;
+	int listen_fd; /* -1 if it does not listen */
 	uint64_t next_link_number;
 	volatile bool is_stopping;
 	pthread_t thread;
-	pthread_mutex_t links_lock;
+	pthread_mutex_t links_lock; /* held while a link is added */
 	struct kwb_link links[KWB_LINKS_MAX];
 };
 
-int kwb_frame_pack(const struct Kwb__Wire__Frame *frame,
-    struct kwb_buf *out); /* appends a framed message */
-int kwb_frame_unpack(struct kwb_buf *in,
-    struct Kwb__Wire__Frame *
-	*frame); /* 1 a frame, 0 more bytes wanted, or an error */
+/*
+ * Appends a frame. Fails with KWB_ERR_WIRE_SIZE over KWB_FRAME_MAX_BYTES or
+ * KWB_ERR_MEMORY.
+ */
+int kwb_frame_pack(const struct Kwb__Wire__Frame *frame, struct kwb_buf *out);
+
+/*
+ * Takes one frame off the front. Returns 1 with a frame, 0 if more bytes are
+ * needed, or KWB_ERR_WIRE_SIZE or KWB_ERR_WIRE_FRAME, after which the stream
+ * is unusable.
+ */
+int kwb_frame_unpack(struct kwb_buf *in, struct Kwb__Wire__Frame **frame);
+
 void kwb_frame_free(struct Kwb__Wire__Frame *frame); /* frees one, or NULL */
-int kwb_loop_init(struct kwb_loop *loop, const struct kwb_link_ops *ops,
-    void *context); /* no links yet */
-int kwb_loop_listen(struct kwb_loop *loop,
-    const struct kwb_address *address);	     /* accepts links */
-int kwb_loop_start(struct kwb_loop *loop);   /* begins serving */
-void kwb_loop_finish(struct kwb_loop *loop); /* closes all links */
+
+/* Prepares a loop without links; KWB_ERR_SYSTEM if epoll fails. */
+int kwb_loop_init(
+    struct kwb_loop *loop, const struct kwb_link_ops *ops, void *context);
+
+/*
+ * Accepts links at an address. KWB_ERR_ARGUMENT if it is not an IPv4 address,
+ * KWB_ERR_SYSTEM if it can't be bound.
+ */
+int kwb_loop_listen(struct kwb_loop *loop, const struct kwb_address *address);
+
+int kwb_loop_start(struct kwb_loop *loop);   /* starts the thread */
+void kwb_loop_finish(struct kwb_loop *loop); /* ends it, closes all links */
+
+/*
+ * Begins to connect and sets the new link's id; on_open follows once it is
+ * connected, on_close if that fails. The tag is passed to all callbacks.
+ * KWB_ERR_ARGUMENT if the address is not IPv4, KWB_ERR_MEMORY if there are
+ * KWB_LINKS_MAX links, else KWB_ERR_SYSTEM or KWB_ERR_WIRE_CLOSED.
+ */
 int kwb_loop_connect(struct kwb_loop *loop, const struct kwb_address *address,
-    uint32_t tag,
-    uint64_t *link); /* begins a link; on_open tells when it is up */
-int kwb_link_send(struct kwb_loop *loop, uint64_t link,
-    const struct Kwb__Wire__Frame *frame); /* queues a frame; never blocks */
+    uint32_t tag, uint64_t *link_id);
+
+/*
+ * Queues a frame and never blocks. KWB_ERR_WIRE_CLOSED if the link is closed,
+ * KWB_ERR_WIRE_SIZE if more than KWB_LINK_SEND_BUFFER_MAX_BYTES are unsent.
+ */
+int kwb_link_send(struct kwb_loop *loop, uint64_t link_id,
+    const struct Kwb__Wire__Frame *frame);
+
 void kwb_link_close(
-    struct kwb_loop *loop, uint64_t link); /* ends a link; on_close follows */
-void kwb_link_set_heartbeat_period(struct kwb_loop *loop, uint64_t link,
-    uint64_t heartbeat_period_ns); /* time between heartbeats; both ends must
-				      agree */
-void kwb_loop_heartbeat_now(
-    struct kwb_loop *loop); /* heartbeats on all links, soon */
+    struct kwb_loop *loop, uint64_t link_id); /* on_close follows */
+
+/*
+ * Sets the time between heartbeats; the peer must set the same. Ignored below
+ * KWB_HEARTBEAT_PERIOD_NS.
+ */
+void kwb_link_set_heartbeat_period(
+    struct kwb_loop *loop, uint64_t link_id, uint64_t heartbeat_period_ns);
+
+/* Makes heartbeats due on all links at the loop's next check. */
+void kwb_loop_heartbeat_now(struct kwb_loop *loop);
 
 /* ---- Member: subsets and leases --------------------------------------- */
 
@@ -773,16 +860,25 @@
     const struct kwb_swap_server *servers,
     unsigned count); /* index of the next server to order, or -1; pure */
 
-/* ---- Daemons ------------------------------------------------------------ */
+/* ---- Daemons ------------------------------------------------------------
+ *
+ * The two server processes. An entry takes callers' requests and sends them to
+ * agents; an agent runs them on its upstream.
+ */
 
 struct kwb_entry;
 struct kwb_agent;
 
-int kwb_entry_start(struct kwb_entry **entry,
-    const struct kwb_entry_settings *settings); /* serves until stopped */
-void kwb_entry_stop(struct kwb_entry *entry);	/* graceful shutdown */
-int kwb_agent_start(struct kwb_agent **agent,
-    const struct kwb_agent_settings *settings); /* serves until stopped */
-void kwb_agent_stop(struct kwb_agent *agent);	/* graceful shutdown */
+/* Starts an entry, which serves until it is stopped; 0 or an error. */
+int kwb_entry_start(
+    struct kwb_entry **entry, const struct kwb_entry_settings *settings);
+
+void kwb_entry_stop(struct kwb_entry *entry); /* stops gracefully, frees it */
+
+/* Starts an agent, which serves until it is stopped; 0 or an error. */
+int kwb_agent_start(
+    struct kwb_agent **agent, const struct kwb_agent_settings *settings);
+
+void kwb_agent_stop(struct kwb_agent *agent); /* stops gracefully, frees it */
 
 #endif
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -24,20 +24,30 @@
 #define KWB_FAULT_MAX_BYTES 240
 
 /* Wire */
-#define KWB_FRAME_MAX_BYTES (4u << 20)
+#define KWB_FRAME_MAX_BYTES (4u << 20) /* without its length prefix */
+/* Unsent bytes of a link, beyond which no more frames are queued. */
 #define KWB_LINK_SEND_BUFFER_MAX_BYTES (32u << 20)
-#define KWB_HEARTBEAT_PERIOD_NS (1000 * KWB_MS_NS)
-#define KWB_HEARTBEAT_FULL_RATE_LINKS                                          \
-	8 /* beyond these, beats come less often */
+#define KWB_HEARTBEAT_PERIOD_NS (1000 * KWB_MS_NS) /* shortest period */
+/*
+ * An entry's links up to this many don't add to its heartbeat period; each
+ * further one adds KWB_HEARTBEAT_PERIOD_PER_LINK_NS, so that all heartbeats
+ * together take a bounded bandwidth.
+ */
+#define KWB_HEARTBEAT_FULL_RATE_LINKS 8
 #define KWB_HEARTBEAT_PERIOD_PER_LINK_NS (160 * KWB_MS_NS)
+/* A link is closed after this many heartbeat periods without data. */
 #define KWB_LINK_TIMEOUT_HEARTBEATS 3
+/* The delay before a link is opened again doubles from MIN to MAX. */
 #define KWB_RECONNECT_DELAY_MIN_NS (250 * KWB_MS_NS)
 #define KWB_RECONNECT_DELAY_MAX_NS (2000 * KWB_MS_NS)
+/* While nothing changes, one in this many heartbeats has a status. */
 #define KWB_STATUS_PERIOD_HEARTBEATS 5
+/* Tokens of a sample are sent in batches, at most this often. */
 #define KWB_PROGRESS_PERIOD_NS (50 * KWB_MS_NS)
 
 /* HTTP */
-#define KWB_HTTP_BODY_MAX_BYTES (8u << 20)
+#define KWB_HTTP_BODY_MAX_BYTES (8u << 20) /* of an answer */
+/* A whole exchange, unless the request has its own timeout. */
 #define KWB_HTTP_TIMEOUT_MS 2000
 #define KWB_CONNECT_TIMEOUT_MS 500
 
--- a/src/platform/http.c
+++ b/src/platform/http.c
@@ -1,7 +1,8 @@
 /*
- * HTTP client over libcurl: one easy handle a thread, which keeps its
- * connection. A request that needs its own never goes over a kept connection,
- * because libcurl sends again by itself when a kept connection turns out dead.
+ * HTTP client over libcurl: each thread has one easy handle, which keeps its
+ * connection open. When a kept connection turns out to be closed, libcurl
+ * resends the request by itself; a request that must not run twice therefore
+ * asks for a new connection.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,8 +13,9 @@
 
 #include "kwb.h"
 
-#define HEADER_MAX_BYTES 512
+#define HEADER_MAX_BYTES 512 /* longer ones of an answer are ignored */
 
+/* A request and its answer, passed to libcurl's callbacks. */
 struct exchange {
 	const struct kwb_http_request *request;
 	struct kwb_http_answer *answer;
@@ -26,8 +28,8 @@
 static CURL *handle_of_thread(void);
 static size_t on_body(char *data, size_t size, size_t count, void *context);
 static size_t on_header(char *data, size_t size, size_t count, void *context);
-static int on_progress(void *context, curl_off_t down_total, curl_off_t down,
-    curl_off_t up_total, curl_off_t up);
+static int on_progress(void *context, curl_off_t download_total,
+    curl_off_t downloaded, curl_off_t upload_total, curl_off_t uploaded);
 static struct curl_slist *headers_create(
     const struct kwb_http_request *request);
 static void handle_prepare(
@@ -72,11 +74,13 @@
 	if (code == CURLE_OK)
 		curl_easy_getinfo(
 		    curl, CURLINFO_RESPONSE_CODE, &answer->status);
+	/* Sending begins after the pretransfer time, which is then set. */
 	if (code == CURLE_OPERATION_TIMEDOUT) {
-		double connect_s = 0;
+		double pretransfer_s = 0;
 
-		curl_easy_getinfo(curl, CURLINFO_PRETRANSFER_TIME, &connect_s);
-		answer->sent = connect_s > 0;
+		curl_easy_getinfo(
+		    curl, CURLINFO_PRETRANSFER_TIME, &pretransfer_s);
+		answer->sent = pretransfer_s > 0;
 	}
 	curl_slist_free_all(headers);
 	return code == CURLE_OK ? 0 : KWB_ERR_PLATFORM_DOWN;
@@ -88,12 +92,14 @@
 	kwb_buf_finish(&answer->body);
 }
 
+/* A thread that ends frees its handle. */
 static void
 handle_key_init(void)
 {
 	pthread_key_create(&handle_key, curl_easy_cleanup);
 }
 
+/* Returns the thread's handle, created on first use; NULL without memory. */
 static CURL *
 handle_of_thread(void)
 {
@@ -106,6 +112,7 @@
 	return curl;
 }
 
+/* The empty Expect header keeps libcurl from waiting for a 100 status. */
 static struct curl_slist *
 headers_create(const struct kwb_http_request *request)
 {
@@ -138,7 +145,7 @@
     CURL *curl, struct exchange *exchange, struct curl_slist *headers)
 {
 	const struct kwb_http_request *request = exchange->request;
-	long needs_new_connection = request->needs_new_connection ? 1 : 0;
+	long is_new = request->needs_new_connection ? 1 : 0;
 
 	curl_easy_reset(curl);
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
@@ -150,8 +157,8 @@
 	    (long)(request->timeout_ms ? request->timeout_ms
 				       : KWB_HTTP_TIMEOUT_MS));
 	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
-	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, needs_new_connection);
-	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, needs_new_connection);
+	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, is_new);
+	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, is_new);
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, exchange);
@@ -172,6 +179,7 @@
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
+/* Returning another length than was given aborts the exchange. */
 static size_t
 on_body(char *data, size_t size, size_t count, void *context)
 {
@@ -189,17 +197,18 @@
 								       : 0;
 }
 
+/* Called by libcurl regularly during an exchange; 1 aborts it. */
 static int
-on_progress(void *context, curl_off_t down_total, curl_off_t down,
-    curl_off_t up_total, curl_off_t up)
+on_progress(void *context, curl_off_t download_total, curl_off_t downloaded,
+    curl_off_t upload_total, curl_off_t uploaded)
 {
 	struct exchange *exchange = context;
 	const struct kwb_http_request *request = exchange->request;
 
-	(void)down_total;
-	(void)down;
-	(void)up_total;
-	(void)up;
+	(void)download_total;
+	(void)downloaded;
+	(void)upload_total;
+	(void)uploaded;
 	return request->should_stop(request->context) ? 1 : 0;
 }
 
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -1,7 +1,7 @@
 /*
  * Client of the platform: transactional table (compare-and-set on a row's
- * revision), object store, weight store and VM list. An answer lost after a
- * write took effect is row_revision out by reading the row back.
+ * revision), object store, weight store and VM list. When the answer to a write
+ * is lost, the row is read back to learn whether the write took effect.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 #include "kwb.h"
 
 #define PATH_MAX_BYTES 512
-#define LISTS_KEY "lists"
+#define LISTS_KEY "lists" /* row of plans and allowances */
 
 static int platform_request(const struct kwb_platform *platform,
     const char *method, const char *path, const char *expected_revision,
@@ -25,7 +25,7 @@
     uint64_t *revision);
 static void vm_from_json(struct kwb_vm *vm, json_t *item);
 static void text_from_json(
-    char *to, size_t room_bytes, json_t *item, const char *key);
+    char *to, size_t capacity_bytes, json_t *item, const char *key);
 
 void
 kwb_platform_init(struct kwb_platform *platform, const char *url)
@@ -76,7 +76,10 @@
 	    expected_revision ? expected_text : "*", value, length_bytes,
 	    &answer);
 	*revision = answer.revision;
-	/* No answer, or a refusal that our own lost write may have caused. */
+	/*
+	 * Either may be due to our own write, if its answer was lost: a
+	 * conflict if libcurl resent the request after it took effect.
+	 */
 	if ((error == KWB_ERR_PLATFORM_DOWN && answer.sent) ||
 	    error == KWB_ERR_PLATFORM_CONFLICT) {
 		if (table_confirm_put(
@@ -177,22 +180,22 @@
 	    platform, LISTS_KEY, known_revision, text, revision);
 }
 
-/* Reads unless still at the known_revision revision, which is told by a 1. */
+/* GET; returns 1 if the resource is still at known_revision. */
 static int
 platform_get_if_changed(const struct kwb_platform *platform, const char *path,
     uint64_t known_revision, struct kwb_http_answer *answer)
 {
-	char url[PATH_MAX_BYTES + KWB_URL_MAX_BYTES], revision[32];
+	char url[PATH_MAX_BYTES + KWB_URL_MAX_BYTES], known_text[32];
 	struct kwb_http_request request = {
 	    .method = "GET",
 	    .url = url,
-	    .known_revision = known_revision ? revision : NULL,
+	    .known_revision = known_revision ? known_text : NULL,
 	    .timeout_ms = KWB_HTTP_TIMEOUT_MS,
 	};
 	int error;
 
 	snprintf(url, sizeof(url), "%s%s", platform->url, path);
-	snprintf(revision, sizeof(revision), "%llu",
+	snprintf(known_text, sizeof(known_text), "%llu",
 	    (unsigned long long)known_revision);
 	error = kwb_http_do(&request, answer);
 	if (error == 0 && answer->status == 304)
@@ -234,8 +237,9 @@
 }
 
 /*
- * Reads the row back: the write took effect when the row holds our value.
- * Values carry their writer's name, so another's write never looks like ours.
+ * Reads the row back and returns 0 if it holds our value, so our write took
+ * effect. Values contain their writer's name, so another writer's value is
+ * never equal to ours.
  */
 static int
 table_confirm_put(const struct kwb_platform *platform, const char *key,
@@ -257,6 +261,7 @@
 	return error;
 }
 
+/* Sets port 0 if the address can't be parsed. */
 static void
 vm_from_json(struct kwb_vm *vm, json_t *item)
 {
@@ -276,9 +281,9 @@
 }
 
 static void
-text_from_json(char *to, size_t room_bytes, json_t *item, const char *key)
+text_from_json(char *to, size_t capacity_bytes, json_t *item, const char *key)
 {
 	const char *text = json_string_value(json_object_get(item, key));
 
-	kwb_text_copy(to, room_bytes, text ? text : "");
+	kwb_text_copy(to, capacity_bytes, text ? text : "");
 }
--- a/src/wire/frame.c
+++ b/src/wire/frame.c
@@ -1,6 +1,7 @@
 /*
- * Frames: a 4-byte big-endian length, then one packed protobuf Frame. Nothing
- * read from the net is trusted: a bad length or message ends the link.
+ * Frames: a 4-byte big-endian length, then one packed protobuf Frame. The
+ * length is checked before it is used, as the peer may send anything; a bad
+ * length or message is an error after which the link must be closed.
  */
 #include <arpa/inet.h>
 #include <string.h>
@@ -8,7 +9,7 @@
 #include "kwb.h"
 #include "wire.h"
 
-#define HEADER_BYTES 4
+#define HEADER_BYTES 4 /* the length */
 
 int
 kwb_frame_pack(const struct Kwb__Wire__Frame *frame, struct kwb_buf *out)
@@ -28,7 +29,7 @@
 
 /*
  * Takes one frame off the front of in. Returns 1 with a frame, 0 when more
- * bytes are needed, or an error after which the stream is of no use.
+ * bytes are needed, or an error after which the stream is unusable.
  */
 int
 kwb_frame_unpack(struct kwb_buf *in, struct Kwb__Wire__Frame **frame)
--- a/src/wire/link.c
+++ b/src/wire/link.c
@@ -1,8 +1,9 @@
 /*
  * Links: non-blocking TCP connections that carry frames, served by one epoll
- * thread. Both ends send heartbeats; a link past its silence deadline is
- * closed, whatever the kernel thinks of the connection. A link is named by an
- * id that is never used again, so that a late user of a closed link is safe.
+ * thread. Both ends send heartbeats; a link that stays silent past its deadline
+ * is closed even if the kernel still considers the connection open. Link ids
+ * are never used again, so an operation on a closed link fails instead of
+ * reaching a newer one.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -17,25 +18,27 @@
 #include "kwb.h"
 #include "wire.h"
 
-#define EVENTS_MAX 64
+#define EVENTS_MAX 64 /* per call of epoll_wait */
 #define READ_CHUNK_BYTES 65536
-#define CHECK_PERIOD_MS 50
+#define CHECK_PERIOD_MS 50 /* between checks of all links' deadlines */
 #define LISTEN_BACKLOG 512
+/* A link's id is a number that only rises, then its index in these bits. */
 #define LINK_INDEX_BITS 16
-#define LISTEN_EVENT_ID UINT64_MAX
+#define LISTEN_EVENT_ID UINT64_MAX /* epoll data of the listening socket */
 
 static void *loop_run(void *argument);
 static void loop_accept(struct kwb_loop *loop);
 static void loop_check_links(struct kwb_loop *loop);
-static struct kwb_link *link_lock(struct kwb_loop *loop, uint64_t id);
+static struct kwb_link *link_lock(struct kwb_loop *loop, uint64_t link_id);
 static int link_add(struct kwb_loop *loop, int fd, uint32_t tag,
-    bool is_connecting, uint64_t *id);
-static void link_on_event(struct kwb_loop *loop, uint64_t id, uint32_t events);
-static int link_read(struct kwb_loop *loop, uint64_t id);
+    bool is_connecting, uint64_t *link_id);
+static void link_on_event(
+    struct kwb_loop *loop, uint64_t link_id, uint32_t events);
+static int link_read(struct kwb_loop *loop, uint64_t link_id);
 static int link_flush(struct kwb_loop *loop, struct kwb_link *link);
 static void link_watch_writable(
     struct kwb_loop *loop, struct kwb_link *link, bool writable);
-static void link_drop(struct kwb_loop *loop, uint64_t id);
+static void link_drop(struct kwb_loop *loop, uint64_t link_id);
 static int socket_set_options(int fd);
 static uint64_t link_silence_max_ns(const struct kwb_link *link);
 static bool frame_is_control(const struct Kwb__Wire__Frame *frame);
@@ -64,18 +67,19 @@
 kwb_loop_listen(struct kwb_loop *loop, const struct kwb_address *address)
 {
 	struct epoll_event event = {.events = EPOLLIN};
-	struct sockaddr_in in = {.sin_family = AF_INET};
+	struct sockaddr_in socket_address = {.sin_family = AF_INET};
 	int on = 1;
 
-	in.sin_port = htons(address->port);
-	if (inet_pton(AF_INET, address->ip, &in.sin_addr) != 1)
+	socket_address.sin_port = htons(address->port);
+	if (inet_pton(AF_INET, address->ip, &socket_address.sin_addr) != 1)
 		return KWB_ERR_ARGUMENT;
 	loop->listen_fd =
 	    socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (loop->listen_fd < 0)
 		return KWB_ERR_SYSTEM;
 	setsockopt(loop->listen_fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	if (bind(loop->listen_fd, (struct sockaddr *)&in, sizeof(in)) != 0 ||
+	if (bind(loop->listen_fd, (struct sockaddr *)&socket_address,
+		sizeof(socket_address)) != 0 ||
 	    listen(loop->listen_fd, LISTEN_BACKLOG) != 0) {
 		close(loop->listen_fd);
 		loop->listen_fd = -1;
@@ -114,55 +118,59 @@
 
 int
 kwb_loop_connect(struct kwb_loop *loop, const struct kwb_address *address,
-    uint32_t tag, uint64_t *id)
+    uint32_t tag, uint64_t *link_id)
 {
-	struct sockaddr_in in = {.sin_family = AF_INET};
+	struct sockaddr_in socket_address = {.sin_family = AF_INET};
 	int fd;
 
-	in.sin_port = htons(address->port);
-	if (inet_pton(AF_INET, address->ip, &in.sin_addr) != 1)
+	socket_address.sin_port = htons(address->port);
+	if (inet_pton(AF_INET, address->ip, &socket_address.sin_addr) != 1)
 		return KWB_ERR_ARGUMENT;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	if (fd < 0)
 		return KWB_ERR_SYSTEM;
 	if (socket_set_options(fd) != 0 ||
-	    (connect(fd, (struct sockaddr *)&in, sizeof(in)) != 0 &&
+	    (connect(fd, (struct sockaddr *)&socket_address,
+		 sizeof(socket_address)) != 0 &&
 		errno != EINPROGRESS)) {
 		close(fd);
 		return KWB_ERR_WIRE_CLOSED;
 	}
-	return link_add(loop, fd, tag, true, id);
+	return link_add(loop, fd, tag, true, link_id);
 }
 
 int
-kwb_link_send(
-    struct kwb_loop *loop, uint64_t id, const struct Kwb__Wire__Frame *frame)
+kwb_link_send(struct kwb_loop *loop, uint64_t link_id,
+    const struct Kwb__Wire__Frame *frame)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 	size_t used_before_bytes;
 	int error;
 
 	if (link == NULL)
 		return KWB_ERR_WIRE_CLOSED;
-	used_before_bytes = link->out.used_bytes;
+	used_before_bytes = link->send_buffer.used_bytes;
 	if (used_before_bytes > KWB_LINK_SEND_BUFFER_MAX_BYTES)
 		error = KWB_ERR_WIRE_SIZE;
 	else
-		error = kwb_frame_pack(frame, &link->out);
+		error = kwb_frame_pack(frame, &link->send_buffer);
 	if (error == 0 && frame_is_control(frame))
 		kwb_metric_add(KWB_METRIC_CONTROL_BYTES,
-		    link->out.used_bytes - used_before_bytes);
+		    link->send_buffer.used_bytes - used_before_bytes);
 	if (error == 0 && used_before_bytes == 0 && !link->is_connecting)
 		link_flush(loop, link);
 	pthread_mutex_unlock(&link->lock);
 	return error;
 }
 
-/* The reader finds the shut socket and reports the close. */
+/*
+ * Shuts the socket down and lets the silence deadline pass; the loop's thread
+ * then drops the link and calls on_close.
+ */
 void
-kwb_link_close(struct kwb_loop *loop, uint64_t id)
+kwb_link_close(struct kwb_loop *loop, uint64_t link_id)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 
 	if (link == NULL)
 		return;
@@ -173,9 +181,9 @@
 
 void
 kwb_link_set_heartbeat_period(
-    struct kwb_loop *loop, uint64_t id, uint64_t heartbeat_period_ns)
+    struct kwb_loop *loop, uint64_t link_id, uint64_t heartbeat_period_ns)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 
 	if (link == NULL)
 		return;
@@ -200,6 +208,7 @@
 	}
 }
 
+/* Thread of the loop: handles events, and checks deadlines periodically. */
 static void *
 loop_run(void *argument)
 {
@@ -232,7 +241,7 @@
 static void
 loop_accept(struct kwb_loop *loop)
 {
-	uint64_t id;
+	uint64_t link_id;
 	int fd;
 
 	while ((fd = accept4(loop->listen_fd, NULL, NULL, SOCK_CLOEXEC)) >= 0) {
@@ -240,17 +249,18 @@
 			close(fd);
 			continue;
 		}
-		if (link_add(loop, fd, 0, false, &id) != 0)
+		if (link_add(loop, fd, 0, false, &link_id) != 0)
 			continue;
-		loop->ops->on_open(loop->context, id, 0);
+		loop->ops->on_open(loop->context, link_id, 0);
 	}
 }
 
+/* Drops silent links and reports due heartbeats. */
 static void
 loop_check_links(struct kwb_loop *loop)
 {
 	uint64_t now_ns = kwb_clock_now_ns();
-	uint64_t id;
+	uint64_t link_id;
 	uint32_t tag;
 	unsigned i;
 	bool is_heartbeat_due, is_silent;
@@ -259,42 +269,46 @@
 		struct kwb_link *link = &loop->links[i];
 
 		pthread_mutex_lock(&link->lock);
-		id = link->id;
+		link_id = link->id;
 		tag = link->tag;
-		is_silent = id != 0 && now_ns >= link->silence_deadline_ns;
-		is_heartbeat_due = id != 0 && !link->is_connecting &&
+		is_silent = link_id != 0 && now_ns >= link->silence_deadline_ns;
+		is_heartbeat_due = link_id != 0 && !link->is_connecting &&
 		    now_ns >= link->next_heartbeat_ns;
 		if (is_heartbeat_due)
 			link->next_heartbeat_ns =
 			    now_ns + link->heartbeat_period_ns;
 		pthread_mutex_unlock(&link->lock);
 		if (is_silent)
-			link_drop(loop, id);
+			link_drop(loop, link_id);
 		else if (is_heartbeat_due)
-			loop->ops->on_heartbeat(loop->context, id, tag);
+			loop->ops->on_heartbeat(loop->context, link_id, tag);
 	}
 }
 
-/* Returns the link locked, or NULL when the id is no longer in use. */
+/* Returns the link, locked, or NULL if it is closed. */
 static struct kwb_link *
-link_lock(struct kwb_loop *loop, uint64_t id)
+link_lock(struct kwb_loop *loop, uint64_t link_id)
 {
-	unsigned link_index = id & ((1u << LINK_INDEX_BITS) - 1);
+	unsigned link_index = link_id & ((1u << LINK_INDEX_BITS) - 1);
 	struct kwb_link *link;
 
-	if (id == 0 || link_index >= KWB_LINKS_MAX)
+	if (link_id == 0 || link_index >= KWB_LINKS_MAX)
 		return NULL;
 	link = &loop->links[link_index];
 	pthread_mutex_lock(&link->lock);
-	if (link->id == id)
+	if (link->id == link_id)
 		return link;
 	pthread_mutex_unlock(&link->lock);
 	return NULL;
 }
 
+/*
+ * Takes a free place for a socket and adds it to epoll; closes the socket if
+ * all KWB_LINKS_MAX places are taken.
+ */
 static int
 link_add(struct kwb_loop *loop, int fd, uint32_t tag, bool is_connecting,
-    uint64_t *id)
+    uint64_t *link_id)
 {
 	struct epoll_event event;
 	struct kwb_link *link = NULL;
@@ -323,9 +337,9 @@
 	link->heartbeat_period_ns = KWB_HEARTBEAT_PERIOD_NS;
 	link->silence_deadline_ns = now_ns + link_silence_max_ns(link);
 	link->next_heartbeat_ns = now_ns + link->heartbeat_period_ns;
-	kwb_buf_init(&link->in);
-	kwb_buf_init(&link->out);
-	*id = link->id;
+	kwb_buf_init(&link->receive_buffer);
+	kwb_buf_init(&link->send_buffer);
+	*link_id = link->id;
 	event.events = EPOLLIN | (is_connecting ? (uint32_t)EPOLLOUT : 0);
 	event.data.u64 = link->id;
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, fd, &event);
@@ -334,39 +348,40 @@
 	return 0;
 }
 
+/* Handles epoll events of a link: connected, writable, readable or failed. */
 static void
-link_on_event(struct kwb_loop *loop, uint64_t id, uint32_t events)
+link_on_event(struct kwb_loop *loop, uint64_t link_id, uint32_t events)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 	uint32_t tag;
 	socklen_t length = sizeof(int);
-	int failure = 0;
+	int error = 0;
 	bool is_opened = false;
 
 	if (link == NULL)
 		return;
 	tag = link->tag;
 	if ((events & EPOLLOUT) && link->is_connecting) {
-		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &failure, &length);
-		is_opened = failure == 0;
+		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &error, &length);
+		is_opened = error == 0;
 		link->is_connecting = false;
 	}
-	if (failure == 0 && (events & EPOLLOUT))
-		failure = link_flush(loop, link);
+	if (error == 0 && (events & EPOLLOUT))
+		error = link_flush(loop, link);
 	pthread_mutex_unlock(&link->lock);
 	if (is_opened)
-		loop->ops->on_open(loop->context, id, tag);
-	if (failure == 0 && (events & (EPOLLIN | EPOLLHUP | EPOLLERR)))
-		failure = link_read(loop, id);
-	if (failure != 0)
-		link_drop(loop, id);
+		loop->ops->on_open(loop->context, link_id, tag);
+	if (error == 0 && (events & (EPOLLIN | EPOLLHUP | EPOLLERR)))
+		error = link_read(loop, link_id);
+	if (error != 0)
+		link_drop(loop, link_id);
 }
 
-/* Reads what is there; frames are handled outside the link's lock. */
+/* Reads once; frames are handled without the link's lock. */
 static int
-link_read(struct kwb_loop *loop, uint64_t id)
+link_read(struct kwb_loop *loop, uint64_t link_id)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 	struct Kwb__Wire__Frame *frame;
 	uint32_t tag;
 	ssize_t read_bytes;
@@ -375,14 +390,15 @@
 	if (link == NULL)
 		return 0;
 	tag = link->tag;
-	if (kwb_buf_reserve(&link->in, READ_CHUNK_BYTES) != 0) {
+	if (kwb_buf_reserve(&link->receive_buffer, READ_CHUNK_BYTES) != 0) {
 		pthread_mutex_unlock(&link->lock);
 		return KWB_ERR_MEMORY;
 	}
-	read_bytes = read(
-	    link->fd, link->in.data + link->in.used_bytes, READ_CHUNK_BYTES);
+	read_bytes = read(link->fd,
+	    link->receive_buffer.data + link->receive_buffer.used_bytes,
+	    READ_CHUNK_BYTES);
 	if (read_bytes > 0) {
-		link->in.used_bytes += (size_t)read_bytes;
+		link->receive_buffer.used_bytes += (size_t)read_bytes;
 		link->silence_deadline_ns =
 		    kwb_clock_now_ns() + link_silence_max_ns(link);
 	}
@@ -390,32 +406,34 @@
 	if (read_bytes == 0 ||
 	    (read_bytes < 0 && errno != EAGAIN && errno != EINTR))
 		return KWB_ERR_WIRE_CLOSED;
-	/* Only this thread touches link->in, so it needs no lock here. */
-	while ((result = kwb_frame_unpack(&link->in, &frame)) > 0)
-		loop->ops->on_frame(loop->context, id, tag, frame);
+	/* Only this thread uses receive_buffer, so it needs no lock. */
+	while ((result = kwb_frame_unpack(&link->receive_buffer, &frame)) > 0)
+		loop->ops->on_frame(loop->context, link_id, tag, frame);
 	return result;
 }
 
+/* Sends as much as the socket takes. Called with the link locked. */
 static int
 link_flush(struct kwb_loop *loop, struct kwb_link *link)
 {
 	ssize_t sent_bytes;
 
-	while (link->out.used_bytes > 0) {
-		sent_bytes = send(link->fd, link->out.data,
-		    link->out.used_bytes, MSG_NOSIGNAL);
+	while (link->send_buffer.used_bytes > 0) {
+		sent_bytes = send(link->fd, link->send_buffer.data,
+		    link->send_buffer.used_bytes, MSG_NOSIGNAL);
 		if (sent_bytes < 0 && errno == EINTR)
 			continue;
 		if (sent_bytes < 0 && errno != EAGAIN)
 			return KWB_ERR_WIRE_CLOSED;
 		if (sent_bytes < 0)
 			break;
-		kwb_buf_consume(&link->out, (size_t)sent_bytes);
+		kwb_buf_consume(&link->send_buffer, (size_t)sent_bytes);
 	}
-	link_watch_writable(loop, link, link->out.used_bytes > 0);
+	link_watch_writable(loop, link, link->send_buffer.used_bytes > 0);
 	return 0;
 }
 
+/* Sets whether epoll reports when the link can be written. */
 static void
 link_watch_writable(struct kwb_loop *loop, struct kwb_link *link, bool writable)
 {
@@ -429,10 +447,11 @@
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, link->fd, &event);
 }
 
+/* Closes the link, frees its place and calls on_close. */
 static void
-link_drop(struct kwb_loop *loop, uint64_t id)
+link_drop(struct kwb_loop *loop, uint64_t link_id)
 {
-	struct kwb_link *link = link_lock(loop, id);
+	struct kwb_link *link = link_lock(loop, link_id);
 	uint32_t tag;
 
 	if (link == NULL)
@@ -440,11 +459,11 @@
 	tag = link->tag;
 	link->id = 0;
 	close(link->fd);
-	kwb_buf_finish(&link->in);
-	kwb_buf_finish(&link->out);
+	kwb_buf_finish(&link->receive_buffer);
+	kwb_buf_finish(&link->send_buffer);
 	pthread_mutex_unlock(&link->lock);
 	kwb_metric_add(KWB_METRIC_LINKS_LOST, 1);
-	loop->ops->on_close(loop->context, id, tag);
+	loop->ops->on_close(loop->context, link_id, tag);
 }
 
 static int
@@ -458,7 +477,7 @@
 	return 0;
 }
 
-/* Control frames are those that no single request causes. */
+/* Control frames are those that belong to no single request. */
 static bool
 frame_is_control(const struct Kwb__Wire__Frame *frame)
 {
@@ -474,7 +493,7 @@
 	}
 }
 
-/* How long a link may be is_silent. */
+/* How long nothing may arrive before the link is closed. */
 static uint64_t
 link_silence_max_ns(const struct kwb_link *link)
 {
--- a/src/wire/spans.c
+++ b/src/wire/spans.c
@@ -1,10 +1,13 @@
 /*
- * Spans: runs of tokens that one weight version made.
+ * Spans: runs of consecutive tokens that one weight version generated.
  */
 #include "kwb.h"
 #include "wire.h"
 
-/* Fills in the spans of the tokens from first on; returns how many. */
+/*
+ * Fills in the spans of the tokens from index first on and returns how many;
+ * tokens after WIRE_SPANS_MAX spans are left out.
+ */
 unsigned
 wire_spans_fill(const struct kwb_tokens *tokens, uint32_t first,
     struct wire_span_list *list)
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -1,5 +1,5 @@
 /*
- * Shorthand for building frames of the inner protocol.
+ * Helpers to build frames of the protocol between entries and agents.
  */
 #ifndef KWB_WIRE_WIRE_H
 #define KWB_WIRE_WIRE_H
@@ -7,18 +7,22 @@
 #include "kwb.h"
 #include "kwb_wire.pb-c.h"
 
-#define WIRE_SPANS_MAX 256
+#define WIRE_SPANS_MAX 256 /* in one message */
 
-/* Spans and the pointers that a message wants to them. */
+/* Spans, and the array of pointers to them that protobuf-c messages use. */
 struct wire_span_list {
 	Kwb__Wire__Span spans[WIRE_SPANS_MAX];
 	Kwb__Wire__Span *pointers[WIRE_SPANS_MAX];
 };
 
+/* Returns the number of spans of the tokens from index first on. */
 unsigned wire_spans_fill(const struct kwb_tokens *tokens, uint32_t first,
     struct wire_span_list *list);
 
-/* Declares frame f of body kind CASE that holds message m. */
+/*
+ * Declares the frame f with the message m as its body: CASE and field name the
+ * same member of the oneof, e.g. KWB_FRAME_DECLARE(frame, RUN, run, message).
+ */
 #define KWB_FRAME_DECLARE(f, CASE, field, m)                                   \
 	Kwb__Wire__Frame f = KWB__WIRE__FRAME__INIT;                           \
 	f.body_case = KWB__WIRE__FRAME__BODY_##CASE;                           \
