--- a/cli/ctl.h
+++ b/cli/ctl.h
@@ -16,8 +16,7 @@
 	EXIT_INVALID = 3,  /* the lists have faults */
 	EXIT_CONFLICT = 4, /* another edit came first */
 	EXIT_PLATFORM = 5, /* the platform can't be reached, or other errors */
-	EXIT_NOT_IN_FORCE =
-	    6 /* applied, not yet known to be in force everywhere */
+	EXIT_NOT_IN_FORCE = 6 /* applied, not yet in force everywhere */
 };
 
 /* A call of kwbctl. */
@@ -41,7 +40,7 @@
 /* files.c: lists in files */
 struct ctl_files {
 	unsigned count;
-	struct kwb_buf texts[FILES_MAX];
+	struct kwb_buf texts[FILES_MAX]; /* the sources point to these */
 	struct kwb_lists_source sources[FILES_MAX];
 };
 
@@ -62,8 +61,8 @@
  */
 int ctl_wait_in_force(struct ctl *ctl, uint64_t revision);
 
-/* kwbctl.c: prints an error and returns the exit code for it. */
-int ctl_print_error(int error, const char *what);
+/* kwbctl.c: prints "PREFIX: ERROR" and returns the exit code for it. */
+int ctl_print_error(int error, const char *prefix);
 
 /* files.c: prints faults of lists to standard error. */
 void ctl_faults_print(const struct ctl *ctl, const struct kwb_faults *faults);
--- a/cli/kwbctl.c
+++ b/cli/kwbctl.c
@@ -22,7 +22,7 @@
     {"check", ctl_check, "check FILE...",
 	"Checks lists in files and reports all faults; changes nothing."},
     {"diff", ctl_diff, "diff FILE...",
-	"Shows what applying the files would change; exits 1 if anything."},
+	"Shows prefix applying the files would change; exits 1 if anything."},
     {"apply", ctl_apply, "apply FILE...",
 	"Applies lists from files. The revision in a file is the one that "
 	"it was\nedited from; later edits of other entries are kept. Prints "
@@ -70,8 +70,7 @@
 			ctl.is_json = strcmp(optarg, "json") == 0;
 			if (ctl.is_json || strcmp(optarg, "text") == 0)
 				break;
-			fprintf(
-			    stderr, "kwbctl: --output must be text or json\n");
+			fprintf(stderr, "kwbctl: --output is text or json\n");
 			return EXIT_USAGE;
 		case 'w':
 			ctl.wait_ms = (uint32_t)strtoul(optarg, NULL, 10);
@@ -101,7 +100,7 @@
 	}
 	if (url == NULL && command->run != ctl_check) {
 		fprintf(stderr,
-		    "kwbctl: no platform given: use --platform URL or set "
+		    "kwbctl: name the platform with --platform URL or "
 		    "KWB_PLATFORM\n");
 		return EXIT_USAGE;
 	}
@@ -118,9 +117,9 @@
 }
 
 int
-ctl_print_error(int error, const char *what)
+ctl_print_error(int error, const char *prefix)
 {
-	fprintf(stderr, "kwbctl: %s: %s\n", what, kwb_error_name(error));
+	fprintf(stderr, "kwbctl: %s: %s\n", prefix, kwb_error_name(error));
 	if (error == KWB_ERR_LISTS_CONFLICT)
 		return EXIT_CONFLICT;
 	if (error == KWB_ERR_LISTS_INVALID)
--- a/include/kwb.h
+++ b/include/kwb.h
@@ -382,7 +382,7 @@
 struct kwb_http_request {
 	const char *method;
 	const char *url;
-	const char *content_type;      /* NULL for no such header */
+	const char *content_type;      /* NULL for none */
 	const char *expected_revision; /* If-Match; "*" only inserts */
 	const char *known_revision;    /* If-None-Match: 304 if unchanged */
 	const void *body;	       /* NULL for none */
@@ -443,8 +443,8 @@
 struct kwb_vm {
 	char vm[KWB_NAME_MAX_BYTES];
 	char failure_domain[KWB_NAME_MAX_BYTES];
-	char role[KWB_NAME_MAX_BYTES]; /* "entry" or "agent" */
-	char pool[KWB_NAME_MAX_BYTES]; /* of agents with the same models */
+	char role[KWB_NAME_MAX_BYTES]; /* entry or agent */
+	char pool[KWB_NAME_MAX_BYTES]; /* of an agent; plans name theirs */
 	struct kwb_address address;    /* where its process listens */
 	enum kwb_vm_state state;
 };
@@ -487,7 +487,10 @@
 int kwb_weights_newest(
     const struct kwb_platform *platform, const char *model, uint64_t *version);
 
-/* Reads the list of VMs; returns 1 if it is still at vms->revision. */
+/*
+ * Reads the list of VMs; returns 1 if it is still at vms->revision. VMs without
+ * a valid address are left out.
+ */
 int kwb_vms_get(const struct kwb_platform *platform, struct kwb_vms *vms);
 
 /* Reads the row of the two lists, as kwb_table_poll. */
@@ -499,7 +502,7 @@
  * A frame is one protobuf message with a length prefix. A link is a TCP
  * connection that carries frames both ways; a loop serves many links on one
  * thread. A link that receives nothing for KWB_LINK_TIMEOUT_HEARTBEATS
- * heartbeat periods is closed.
+ * heartbeat periods is closed. Ids of links are never used again.
  */
 
 struct Kwb__Wire__Frame;
@@ -519,7 +522,7 @@
 
 struct kwb_link {
 	pthread_mutex_t lock;
-	uint64_t id; /* never used again; 0 if this place is free */
+	uint64_t id; /* 0 if this one is not in use */
 	int fd;
 	uint32_t tag; /* the caller's number of a peer; 0 if accepted */
 	bool is_connecting;
@@ -569,7 +572,8 @@
  */
 int kwb_loop_listen(struct kwb_loop *loop, const struct kwb_address *address);
 
-int kwb_loop_start(struct kwb_loop *loop);   /* starts the thread */
+int kwb_loop_start(
+    struct kwb_loop *loop); /* starts the thread; 0 or KWB_ERR_SYSTEM */
 void kwb_loop_finish(struct kwb_loop *loop); /* ends it, closes all links */
 
 /*
@@ -583,7 +587,8 @@
 
 /*
  * Queues a frame and never blocks. KWB_ERR_WIRE_CLOSED if the link is closed,
- * KWB_ERR_WIRE_SIZE if more than KWB_LINK_SEND_BUFFER_MAX_BYTES are unsent.
+ * KWB_ERR_WIRE_SIZE if more than KWB_LINK_SEND_BUFFER_MAX_BYTES are unsent or
+ * the frame is too large, or KWB_ERR_MEMORY.
  */
 int kwb_link_send(struct kwb_loop *loop, uint64_t link_id,
     const struct Kwb__Wire__Frame *frame);
--- a/include/kwb_config.h
+++ b/include/kwb_config.h
@@ -49,7 +49,7 @@
 #define KWB_HTTP_BODY_MAX_BYTES (8u << 20) /* of an answer */
 /* A whole exchange, unless the request has its own timeout. */
 #define KWB_HTTP_TIMEOUT_MS 2000
-#define KWB_CONNECT_TIMEOUT_MS 500
+#define KWB_CONNECT_TIMEOUT_MS 500 /* until a connection is established */
 
 /* Connections to upstreams and store */
 /* A server that names no time is taken to keep idle connections this long. */
--- a/src/platform/platform.c
+++ b/src/platform/platform.c
@@ -77,8 +77,8 @@
 	    &answer);
 	*revision = answer.revision;
 	/*
-	 * Either may be due to our own write, if its answer was lost: a
-	 * conflict if libcurl resent the request after it took effect.
+	 * The write may have taken effect: its answer was lost, or libcurl
+	 * resent it after that and the second one was refused.
 	 */
 	if ((error == KWB_ERR_PLATFORM_DOWN && answer.sent) ||
 	    error == KWB_ERR_PLATFORM_CONFLICT) {
--- a/src/wire/link.c
+++ b/src/wire/link.c
@@ -303,8 +303,8 @@
 }
 
 /*
- * Takes a free place for a socket and adds it to epoll; closes the socket if
- * all KWB_LINKS_MAX places are taken.
+ * Makes an unused link serve a socket and adds it to epoll. Closes the socket
+ * if all KWB_LINKS_MAX links are in use.
  */
 static int
 link_add(struct kwb_loop *loop, int fd, uint32_t tag, bool is_connecting,
@@ -447,7 +447,7 @@
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_MOD, link->fd, &event);
 }
 
-/* Closes the link, frees its place and calls on_close. */
+/* Closes the link, which can be used again then, and calls on_close. */
 static void
 link_drop(struct kwb_loop *loop, uint64_t link_id)
 {
--- a/src/wire/wire.h
+++ b/src/wire/wire.h
@@ -15,17 +15,17 @@
 	Kwb__Wire__Span *pointers[WIRE_SPANS_MAX];
 };
 
-/* Returns the number of spans of the tokens from index first on. */
+/* Fills in the spans of the tokens from index first on; returns how many. */
 unsigned wire_spans_fill(const struct kwb_tokens *tokens, uint32_t first,
     struct wire_span_list *list);
 
 /*
- * Declares the frame f with the message m as its body: CASE and field name the
+ * Declares a frame that has the message as its body. CASE and field name the
  * same member of the oneof, e.g. KWB_FRAME_DECLARE(frame, RUN, run, message).
  */
-#define KWB_FRAME_DECLARE(f, CASE, field, m)                                   \
-	Kwb__Wire__Frame f = KWB__WIRE__FRAME__INIT;                           \
-	f.body_case = KWB__WIRE__FRAME__BODY_##CASE;                           \
-	f.field = &(m)
+#define KWB_FRAME_DECLARE(frame, CASE, field, message)                         \
+	Kwb__Wire__Frame frame = KWB__WIRE__FRAME__INIT;                       \
+	frame.body_case = KWB__WIRE__FRAME__BODY_##CASE;                       \
+	frame.field = &(message)
 
 #endif
