--- a/cli/kwbctl.c
+++ b/cli/kwbctl.c
@@ -22,7 +22,7 @@
     {"check", ctl_check, "check FILE...",
 	"Checks lists in files and reports all faults; changes nothing."},
     {"diff", ctl_diff, "diff FILE...",
-	"Shows prefix applying the files would change; exits 1 if anything."},
+	"Shows what applying the files would change; exits 1 if anything."},
     {"apply", ctl_apply, "apply FILE...",
 	"Applies lists from files. The revision in a file is the one that "
 	"it was\nedited from; later edits of other entries are kept. Prints "
