--- a/cli/status.c
+++ b/cli/status.c
@@ -11,14 +11,14 @@
 #include "ctl.h"
 
 #define URL_MAX_BYTES 256
-#define STATUS_TIMEOUT_MS 1000
-#define POLL_PERIOD_NS (50 * KWB_MS_NS)
+#define STATUS_TIMEOUT_MS 1000		/* for the status of one entry */
+#define POLL_PERIOD_NS (50 * KWB_MS_NS) /* between reads of all statuses */
 
 /* How far a revision has come. */
 struct revision_counts {
 	unsigned entries;
-	unsigned unreachable_entries;
-	unsigned agents; /* connected to a reachable entry */
+	unsigned unreachable_entries; /* also 1 without a list of VMs */
+	unsigned agents;	      /* connected to a reachable entry */
 	unsigned behind; /* entries and agents that have an older one */
 };
 
--- a/src/wire/link.c
+++ b/src/wire/link.c
@@ -22,7 +22,7 @@
 #define READ_CHUNK_BYTES 65536
 #define CHECK_PERIOD_MS 50 /* between checks of all links' deadlines */
 #define LISTEN_BACKLOG 512
-/* A link's id is a number that only rises, then its index in these bits. */
+/* A link's id is a rising number, shifted left by these bits, and its index. */
 #define LINK_INDEX_BITS 16
 #define LISTEN_EVENT_ID UINT64_MAX /* epoll data of the listening socket */
 
@@ -164,8 +164,8 @@
 }
 
 /*
- * Shuts the socket down and lets the silence deadline pass; the loop's thread
- * then drops the link and calls on_close.
+ * Shuts the socket down and makes the silence deadline expire; the loop's
+ * thread then drops the link and calls on_close.
  */
 void
 kwb_link_close(struct kwb_loop *loop, uint64_t link_id)
