--- a/daemons/kwb-entry.c
+++ b/daemons/kwb-entry.c
@@ -1,5 +1,5 @@
 /*
- * kwb-entry: thin daemon around the entry of libkwb.
+ * kwb-entry: runs an entry of libkwb until SIGTERM or SIGINT.
  */
 #include "daemon.h"
 
@@ -14,12 +14,12 @@
 
 	if (!daemon_options_parse(&options, argc, argv, &code))
 		return code;
-	if (kwb_entry_settings_load(&settings, options.settings, &faults) !=
-	    0) {
+	if (kwb_entry_settings_load(
+		&settings, options.settings_file, &faults) != 0) {
 		daemon_faults_print(&faults);
 		return 1;
 	}
-	if (!options.check) {
+	if (!options.is_check_only) {
 		daemon_signals_block();
 		kwb_log_init(settings->vm, options.log_level);
 		kwb_http_init();
@@ -30,7 +30,7 @@
 			    "event=no_start error=%s", kwb_error_name(code));
 			return 1;
 		}
-		daemon_wait();
+		daemon_wait_for_signal();
 		kwb_entry_stop(entry);
 		kwb_current_lists_finish();
 		kwb_http_finish();
--- a/src/platform/http.c
+++ b/src/platform/http.c
@@ -1,7 +1,8 @@
 /*
- * HTTP client over libcurl: one easy handle a thread, which keeps its
- * connection. A fresh request never goes over a kept connection, because
- * libcurl sends again by itself when a kept connection turns out dead.
+ * HTTP client over libcurl: each thread has one easy handle, which keeps its
+ * connection open. When a kept connection turns out to be closed, libcurl
+ * resends the request by itself; a request that must not run twice therefore
+ * asks for a new connection.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,8 +13,9 @@
 
 #include "kwb.h"
 
-#define HEADER_MAX_BYTES 512
+#define HEADER_MAX_BYTES 512 /* longer ones of an answer are ignored */
 
+/* A request and its answer, passed to libcurl's callbacks. */
 struct exchange {
 	const struct kwb_http_request *request;
 	struct kwb_http_answer *answer;
@@ -23,12 +25,13 @@
 static pthread_once_t handle_once = PTHREAD_ONCE_INIT;
 
 static void handle_key_init(void);
-static CURL *handle_get(void);
+static CURL *handle_of_thread(void);
 static size_t on_body(char *data, size_t size, size_t count, void *context);
 static size_t on_header(char *data, size_t size, size_t count, void *context);
-static int on_wait(void *context, curl_off_t down_total, curl_off_t down,
-    curl_off_t up_total, curl_off_t up);
-static struct curl_slist *headers_for(const struct kwb_http_request *request);
+static int on_progress(void *context, curl_off_t download_total,
+    curl_off_t downloaded, curl_off_t upload_total, curl_off_t uploaded);
+static struct curl_slist *headers_create(
+    const struct kwb_http_request *request);
 static void handle_prepare(
     CURL *curl, struct exchange *exchange, struct curl_slist *headers);
 
@@ -56,14 +59,14 @@
 {
 	struct exchange exchange = {request, answer};
 	struct curl_slist *headers;
-	CURL *curl = handle_get();
+	CURL *curl = handle_of_thread();
 	CURLcode code;
 
 	memset(answer, 0, sizeof(*answer));
 	kwb_buf_init(&answer->body);
 	if (curl == NULL)
 		return KWB_ERR_MEMORY;
-	headers = headers_for(request);
+	headers = headers_create(request);
 	handle_prepare(curl, &exchange, headers);
 	code = curl_easy_perform(curl);
 	answer->sent = code != CURLE_COULDNT_CONNECT &&
@@ -71,11 +74,13 @@
 	if (code == CURLE_OK)
 		curl_easy_getinfo(
 		    curl, CURLINFO_RESPONSE_CODE, &answer->status);
+	/* Sending begins after the pretransfer time, which is then set. */
 	if (code == CURLE_OPERATION_TIMEDOUT) {
-		double connect_s = 0;
+		double pretransfer_s = 0;
 
-		curl_easy_getinfo(curl, CURLINFO_PRETRANSFER_TIME, &connect_s);
-		answer->sent = connect_s > 0;
+		curl_easy_getinfo(
+		    curl, CURLINFO_PRETRANSFER_TIME, &pretransfer_s);
+		answer->sent = pretransfer_s > 0;
 	}
 	curl_slist_free_all(headers);
 	return code == CURLE_OK ? 0 : KWB_ERR_PLATFORM_UNREACHABLE;
@@ -87,14 +92,16 @@
 	kwb_buf_finish(&answer->body);
 }
 
+/* A thread that ends frees its handle. */
 static void
 handle_key_init(void)
 {
 	pthread_key_create(&handle_key, curl_easy_cleanup);
 }
 
+/* Returns the thread's handle, created on first use; NULL without memory. */
 static CURL *
-handle_get(void)
+handle_of_thread(void)
 {
 	CURL *curl = pthread_getspecific(handle_key);
 
@@ -105,8 +112,9 @@
 	return curl;
 }
 
+/* The empty Expect header keeps libcurl from waiting for a 100 status. */
 static struct curl_slist *
-headers_for(const struct kwb_http_request *request)
+headers_create(const struct kwb_http_request *request)
 {
 	struct curl_slist *list = curl_slist_append(NULL, "Expect:");
 	char line[HEADER_MAX_BYTES];
@@ -116,15 +124,17 @@
 		    request->content_type);
 		list = curl_slist_append(list, line);
 	}
-	if (request->if_match != NULL && request->if_match[0] == '*') {
+	if (request->expected_revision != NULL &&
+	    request->expected_revision[0] == '*') {
 		list = curl_slist_append(list, "If-None-Match: *");
-	} else if (request->if_match != NULL) {
-		snprintf(line, sizeof(line), "If-Match: %s", request->if_match);
+	} else if (request->expected_revision != NULL) {
+		snprintf(line, sizeof(line), "If-Match: %s",
+		    request->expected_revision);
 		list = curl_slist_append(list, line);
 	}
-	if (request->if_changed != NULL) {
+	if (request->known_revision != NULL) {
 		snprintf(line, sizeof(line), "If-None-Match: %s",
-		    request->if_changed);
+		    request->known_revision);
 		list = curl_slist_append(list, line);
 	}
 	return list;
@@ -135,7 +145,7 @@
     CURL *curl, struct exchange *exchange, struct curl_slist *headers)
 {
 	const struct kwb_http_request *request = exchange->request;
-	long fresh = request->fresh ? 1 : 0;
+	long is_new = request->needs_new_connection ? 1 : 0;
 
 	curl_easy_reset(curl);
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
@@ -147,15 +157,15 @@
 	    (long)(request->timeout_ms ? request->timeout_ms
 				       : KWB_HTTP_TIMEOUT_MS));
 	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
-	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, fresh);
-	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, fresh);
+	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, is_new);
+	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, is_new);
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, exchange);
 	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, exchange);
 	if (request->should_stop != NULL) {
-		curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_wait);
+		curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
 		curl_easy_setopt(curl, CURLOPT_XFERINFODATA, exchange);
 		curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
 	}
@@ -169,6 +179,7 @@
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
+/* Returning another length than was given aborts the exchange. */
 static size_t
 on_body(char *data, size_t size, size_t count, void *context)
 {
@@ -179,23 +190,25 @@
 	if (request->on_data != NULL)
 		return request->on_data(request->context, data, length) ? length
 									: 0;
-	if (exchange->answer->body.used_bytes + length > KWB_BODY_MAX_BYTES)
+	if (exchange->answer->body.used_bytes + length >
+	    KWB_HTTP_BODY_MAX_BYTES)
 		return 0;
 	return kwb_buf_add(&exchange->answer->body, data, length) == 0 ? length
 								       : 0;
 }
 
+/* Called by libcurl regularly during an exchange; 1 aborts it. */
 static int
-on_wait(void *context, curl_off_t down_total, curl_off_t down,
-    curl_off_t up_total, curl_off_t up)
+on_progress(void *context, curl_off_t download_total, curl_off_t downloaded,
+    curl_off_t upload_total, curl_off_t uploaded)
 {
 	struct exchange *exchange = context;
 	const struct kwb_http_request *request = exchange->request;
 
-	(void)down_total;
-	(void)down;
-	(void)up_total;
-	(void)up;
+	(void)download_total;
+	(void)downloaded;
+	(void)upload_total;
+	(void)uploaded;
 	return request->should_stop(request->context) ? 1 : 0;
 }
 
