--- a/bench/measure.c
+++ b/bench/measure.c
@@ -9,23 +9,23 @@
 #include "measure.h"
 
 static double metric_read(
-    struct world *world, const char *name, const char *metric);
+    struct cluster *cluster, const char *name, const char *metric);
 static int by_value(const void *a, const void *b);
 
 void
-account_take(struct world *world, const char *name, struct account *account)
+account_take(struct cluster *cluster, const char *name, struct account *account)
 {
-	struct world_proc *proc = world_proc(world, name);
+	struct cluster_process *process = cluster_find_process(cluster, name);
 	char path[64], text[1024];
 	struct timespec cpu = {0};
 	clockid_t clock;
 	FILE *file;
 
 	memset(account, 0, sizeof(*account));
-	if (clock_getcpuclockid(proc->pid, &clock) == 0)
+	if (clock_getcpuclockid(process->pid, &clock) == 0)
 		clock_gettime(clock, &cpu);
 	account->cpu_ms = (double)cpu.tv_sec * 1e3 + (double)cpu.tv_nsec / 1e6;
-	snprintf(path, sizeof(path), "/proc/%d/status", (int)proc->pid);
+	snprintf(path, sizeof(path), "/proc/%d/status", (int)process->pid);
 	file = fopen(path, "r");
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strncmp(text, "VmRSS:", 6) == 0)
@@ -33,7 +33,7 @@
 	if (file != NULL)
 		fclose(file);
 	account->control_bytes =
-	    metric_read(world, name, "\nkwb_control_bytes_total ");
+	    metric_read(cluster, name, "\nkwb_control_bytes_total ");
 }
 
 void
@@ -77,16 +77,17 @@
 
 /* An entry serves its counters itself, an agent at its metrics address. */
 static double
-metric_read(struct world *world, const char *name, const char *metric)
+metric_read(struct cluster *cluster, const char *name, const char *metric)
 {
 	char url[128];
 	struct kwb_buf text;
 	const char *at;
 	double value = 0;
 
-	world_metrics_url(world, name, url, sizeof(url));
+	cluster_print_metrics_url(cluster, name, url, sizeof(url));
 	kwb_buf_init(&text);
-	if (world_http("GET", url, NULL, NULL, &text, NULL, 2000) == 200 &&
+	if (cluster_http_request("GET", url, NULL, NULL, &text, NULL, 2000) ==
+		200 &&
 	    (at = strstr(text.data, metric)) != NULL)
 		value = atof(at + strlen(metric));
 	kwb_buf_finish(&text);
--- a/tests/contract.c
+++ b/tests/contract.c
@@ -15,9 +15,9 @@
 #include "world.h"
 
 #define BASE_PORT 26000
-#define ANSWER_MS 4000
-#define PORT_LLM 16
-#define PORT_SHOP 17
+#define ANSWER_TIMEOUT_MS 4000
+#define LLM_AGENT_PORT_OFFSET 16
+#define SHOP_AGENT_PORT_OFFSET 17
 
 static const char lists_text[] =
     "plans:\n"
@@ -33,7 +33,7 @@
 	struct kwb_buf in;
 	uint64_t incarnation;
 	uint64_t revision;
-	uint32_t last_done; /* outcome of the last answer passed over */
+	uint32_t last_outcome; /* outcome of the last answer passed over */
 };
 
 static unsigned passed, failed;
@@ -41,52 +41,52 @@
 static void client_open(struct client *client, unsigned port);
 static void client_close(struct client *client);
 static bool client_send(struct client *client, Kwb__Wire__Frame *frame);
-static Kwb__Wire__Frame *client_await(struct client *client,
+static Kwb__Wire__Frame *client_wait_frame(struct client *client,
     Kwb__Wire__Frame__BodyCase kind, uint64_t request, uint32_t timeout_ms);
-static void check(bool right, const char *name, const char *detail);
-static void check_calls(struct world *world);
-static void check_orders(struct world *world);
-static void check_swap(void);
-static void check_attempts(void);
-static void check_silence(void);
-static void check_share(struct world *world);
-static uint32_t units_of(const Kwb__Wire__Status *status, const char *plan);
-static void check_bytes(void);
+static void check(bool is_right, const char *name, const char *detail);
+static void check_calls(struct cluster *cluster);
+static void check_weight_orders(struct cluster *cluster);
+static void check_stream_across_swap(void);
+static void check_attempt_fencing(void);
+static void check_silent_links(void);
+static void check_share_in_outage(struct cluster *cluster);
+static uint32_t units_held(const Kwb__Wire__Status *status, const char *plan);
+static void check_malformed_frames(void);
 
 int
 main(void)
 {
-	static struct world world;
-	struct world_shape shape = {.entries = 1,
+	static struct cluster cluster;
+	struct cluster_spec spec = {.entries = 1,
 	    .engines = 1,
 	    .services = 1,
-	    .domains = 1,
+	    .failure_domains = 1,
 	    .models = "m",
 	    .slots = 8,
-	    .reserve = 1,
+	    .interactive_reserve = 1,
 	    .engine_args = "--ignore_fence 1 --token_us 3000",
 	    .lists = lists_text};
 
 	kwb_log_init("contract", KWB_LOG_ERROR);
 	kwb_http_init();
 	signal(SIGPIPE, SIG_IGN);
-	check(world_start(&world, &shape, BASE_PORT) == 0, "the world starts",
-	    "");
-	check_calls(&world);
-	check_orders(&world);
-	check_attempts();
-	check_swap();
-	check_silence();
-	check_share(&world);
-	check_bytes();
-	world_stop(&world);
+	check(cluster_start(&cluster, &spec, BASE_PORT) == 0,
+	    "the world starts", "");
+	check_calls(&cluster);
+	check_weight_orders(&cluster);
+	check_attempt_fencing();
+	check_stream_across_swap();
+	check_silent_links();
+	check_share_in_outage(&cluster);
+	check_malformed_frames();
+	cluster_stop(&cluster);
 	printf("contract tests: %u passed, %u failed\n", passed, failed);
 	return failed > 0;
 }
 
 /* Plain calls: what is refused, what is barred, what is replayed. */
 static void
-check_calls(struct world *world)
+check_calls(struct cluster *cluster)
 {
 	static const struct {
 		const char *name;
@@ -122,7 +122,7 @@
 	struct client client;
 	size_t i;
 
-	client_open(&client, PORT_SHOP);
+	client_open(&client, SHOP_AGENT_PORT_OFFSET);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
 		KWB_FRAME(run_frame, RUN, run, run);
@@ -148,8 +148,8 @@
 		run.body.len = strlen(cases[i].key);
 		client_send(
 		    &client, cases[i].query ? &query_frame : &run_frame);
-		answer = client_await(
-		    &client, KWB__WIRE__FRAME__BODY_DONE, i + 1, ANSWER_MS);
+		answer = client_wait_frame(&client, KWB__WIRE__FRAME__BODY_DONE,
+		    i + 1, ANSWER_TIMEOUT_MS);
 		snprintf(detail, sizeof(detail), "%s, %s",
 		    answer ? kwb_outcome_name(answer->done->outcome) : "none",
 		    answer ? kwb_error_name(answer->done->error) : "none");
@@ -160,13 +160,13 @@
 		kwb_frame_free(answer);
 	}
 	client_close(&client);
-	check(world_get(world, "service-2", "ran") == 1,
+	check(cluster_get_control(cluster, "service-2", "ran") == 1,
 	    "the service ran one call in all", "");
 }
 
 /* Weight orders by fencing token, before an engine that ignores tokens. */
 static void
-check_orders(struct world *world)
+check_weight_orders(struct cluster *cluster)
 {
 	static const struct {
 		const char *name;
@@ -185,7 +185,7 @@
 	struct client client;
 	size_t i;
 
-	client_open(&client, PORT_LLM);
+	client_open(&client, LLM_AGENT_PORT_OFFSET);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Order order = KWB__WIRE__ORDER__INIT;
 		KWB_FRAME(frame, ORDER, order, order);
@@ -197,8 +197,9 @@
 		order.version = cases[i].version;
 		order.fencing_token = cases[i].token;
 		client_send(&client, &frame);
-		answer = client_await(&client,
-		    KWB__WIRE__FRAME__BODY_ORDER_REPLY, i + 1, ANSWER_MS);
+		answer = client_wait_frame(&client,
+		    KWB__WIRE__FRAME__BODY_ORDER_REPLY, i + 1,
+		    ANSWER_TIMEOUT_MS);
 		check(answer != NULL &&
 			answer->order_reply->error == cases[i].error &&
 			answer->order_reply->version == cases[i].version_after,
@@ -208,14 +209,14 @@
 		kwb_frame_free(answer);
 	}
 	client_close(&client);
-	check(world_get(world, "engine-1", "orders_old") == 0,
+	check(cluster_get_control(cluster, "engine-1", "orders_old") == 0,
 	    "the engine saw no old token", "");
 	/* The highest token is in no memory now: the table has to say. */
-	world_kill(world, "llm-1");
-	world_set(world, "platform", "down", 1);
-	world_run(world, "llm-1");
+	cluster_kill_process(cluster, "llm-1");
+	cluster_set_control(cluster, "platform", "down", 1);
+	cluster_start_process(cluster, "llm-1");
 	kwb_clock_sleep_ns(500 * KWB_MS_NS);
-	client_open(&client, PORT_LLM);
+	client_open(&client, LLM_AGENT_PORT_OFFSET);
 	{
 		Kwb__Wire__Order order = KWB__WIRE__ORDER__INIT;
 		KWB_FRAME(frame, ORDER, order, order);
@@ -227,8 +228,8 @@
 		order.version = 9;
 		order.fencing_token = 99;
 		client_send(&client, &frame);
-		answer = client_await(
-		    &client, KWB__WIRE__FRAME__BODY_ORDER_REPLY, 1, ANSWER_MS);
+		answer = client_wait_frame(&client,
+		    KWB__WIRE__FRAME__BODY_ORDER_REPLY, 1, ANSWER_TIMEOUT_MS);
 		check(answer != NULL &&
 			answer->order_reply->error == KWB_ERR_WEIGHTS_UNKNOWN,
 		    "a fresh agent takes no order before it knows the token",
@@ -236,13 +237,13 @@
 		kwb_frame_free(answer);
 	}
 	client_close(&client);
-	world_set(world, "platform", "down", 0);
-	world_settled(world, 15000);
+	cluster_set_control(cluster, "platform", "down", 0);
+	cluster_wait_settled(cluster, 15000);
 }
 
 /* A later attempt of a step fences the earlier one off. */
 static void
-check_attempts(void)
+check_attempt_fencing(void)
 {
 	static const struct {
 		const char *name;
@@ -258,7 +259,7 @@
 	struct client client;
 	size_t i;
 
-	client_open(&client, PORT_LLM);
+	client_open(&client, LLM_AGENT_PORT_OFFSET);
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
 		KWB_FRAME(run_frame, RUN, run, run);
@@ -286,10 +287,10 @@
 		find.attempt = cases[i].find_attempt;
 		client_send(
 		    &client, cases[i].find_attempt ? &find_frame : &run_frame);
-		answer = client_await(&client,
+		answer = client_wait_frame(&client,
 		    cases[i].find_attempt ? KWB__WIRE__FRAME__BODY_FOUND
 					  : KWB__WIRE__FRAME__BODY_DONE,
-		    i + 1, ANSWER_MS);
+		    i + 1, ANSWER_TIMEOUT_MS);
 		check(answer != NULL &&
 			(cases[i].find_attempt
 				? answer->found->n_held == 1
@@ -305,7 +306,7 @@
 
 /* A stream across a swap ends whole, with a span of each version. */
 static void
-check_swap(void)
+check_stream_across_swap(void)
 {
 	Kwb__Wire__Run run = KWB__WIRE__RUN__INIT;
 	KWB_FRAME(run_frame, RUN, run, run);
@@ -316,7 +317,7 @@
 	uint64_t first = 0, last = 0;
 	uint32_t tokens = 0;
 
-	client_open(&client, PORT_LLM);
+	client_open(&client, LLM_AGENT_PORT_OFFSET);
 	run.request = 1;
 	run.key = "across";
 	run.plan = "quotes";
@@ -336,8 +337,8 @@
 	order.version = 20;
 	order.fencing_token = 200;
 	client_send(&client, &order_frame);
-	while ((answer = client_await(&client, KWB__WIRE__FRAME__BODY_PROGRESS,
-		    1, 700)) != NULL) {
+	while ((answer = client_wait_frame(&client,
+		    KWB__WIRE__FRAME__BODY_PROGRESS, 1, 700)) != NULL) {
 		const Kwb__Wire__Progress *progress = answer->progress;
 
 		if (first == 0)
@@ -346,7 +347,7 @@
 		tokens += (uint32_t)progress->n_tokens;
 		kwb_frame_free(answer);
 	}
-	check(client.last_done == KWB_OUTCOME_RAN,
+	check(client.last_outcome == KWB_OUTCOME_RAN,
 	    "a stream across a swap runs to its end", "");
 	check(first == 4 && last == 20 && tokens > 0, "it names both versions",
 	    "");
@@ -355,7 +356,7 @@
 
 /* A silent link is dropped after three beats, at the pace its entry set. */
 static void
-check_silence(void)
+check_silent_links(void)
 {
 	static const struct {
 		const char *name;
@@ -375,11 +376,11 @@
 		KWB_FRAME(frame, HEARTBEAT, heartbeat, heartbeat);
 		struct client client;
 
-		client_open(&client, PORT_LLM);
+		client_open(&client, LLM_AGENT_PORT_OFFSET);
 		heartbeat.lists_revision = client.revision;
 		heartbeat.period_ms = cases[i].period_ms;
 		client_send(&client, &frame);
-		client_await(
+		client_wait_frame(
 		    &client, KWB__WIRE__FRAME__BODY_DONE, 1, cases[i].after_ms);
 		check((client.fd >= 0) == cases[i].open, cases[i].name, "");
 		client_close(&client);
@@ -391,7 +392,7 @@
  * because others may take the same ones; once it is back they are held.
  */
 static void
-check_share(struct world *world)
+check_share_in_outage(struct cluster *cluster)
 {
 	static const char raised[] =
 	    "plans:\n"
@@ -405,8 +406,8 @@
 		const char *name;
 		int down;
 		uint32_t watch_ms;
-		uint32_t units_most;
-		uint32_t units_last;
+		uint32_t units_max;
+		uint32_t units_at_end;
 	} cases[] = {
 	    {"an outage keeps what is held", 1, 6000, 2, 2},
 	    {"its end lets more be taken", 0, 6000, 9, 9},
@@ -416,8 +417,8 @@
 	struct client client;
 	size_t i;
 
-	world_set(world, "platform", "down", 1);
-	client_open(&client, PORT_SHOP);
+	cluster_set_control(cluster, "platform", "down", 1);
+	client_open(&client, SHOP_AGENT_PORT_OFFSET);
 	lists.revision = client.revision + 1;
 	lists.document.data = (uint8_t *)raised;
 	lists.document.len = sizeof(raised) - 1;
@@ -428,15 +429,15 @@
 		Kwb__Wire__Frame *beat;
 		char detail[64];
 
-		world_set(world, "platform", "down", cases[i].down);
+		cluster_set_control(cluster, "platform", "down", cases[i].down);
 		while (kwb_clock_now_ns() < until_ns) {
 			client_send(&client, &frame); /* keeps the link alive */
-			beat = client_await(
+			beat = client_wait_frame(
 			    &client, KWB__WIRE__FRAME__BODY_HEARTBEAT, 0, 2000);
 			/* Some beats say nothing of the agent's state. */
 			if (beat != NULL && beat->heartbeat->status != NULL)
-				last =
-				    units_of(beat->heartbeat->status, "orders");
+				last = units_held(
+				    beat->heartbeat->status, "orders");
 			if (last > most)
 				most = last;
 			kwb_frame_free(beat);
@@ -444,14 +445,14 @@
 		snprintf(
 		    detail, sizeof(detail), "most %u, last %u", most, last);
 		check(
-		    most <= cases[i].units_most && last == cases[i].units_last,
+		    most <= cases[i].units_max && last == cases[i].units_at_end,
 		    cases[i].name, detail);
 	}
 	client_close(&client);
 }
 
 static uint32_t
-units_of(const Kwb__Wire__Status *status, const char *plan)
+units_held(const Kwb__Wire__Status *status, const char *plan)
 {
 	size_t i;
 
@@ -463,7 +464,7 @@
 
 /* Bytes that are no frame end the link; the agent serves on. */
 static void
-check_bytes(void)
+check_malformed_frames(void)
 {
 	static const struct {
 		const char *name;
@@ -478,16 +479,16 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		client_open(&client, PORT_LLM);
+		client_open(&client, LLM_AGENT_PORT_OFFSET);
 		check(send(client.fd, cases[i].bytes, cases[i].length_bytes,
 			  MSG_NOSIGNAL) > 0 &&
-			client_await(&client, KWB__WIRE__FRAME__BODY_DONE, 1,
-			    1500) == NULL &&
+			client_wait_frame(&client, KWB__WIRE__FRAME__BODY_DONE,
+			    1, 1500) == NULL &&
 			client.fd < 0,
 		    cases[i].name, "");
 		client_close(&client);
 	}
-	client_open(&client, PORT_LLM);
+	client_open(&client, LLM_AGENT_PORT_OFFSET);
 	check(client.incarnation != 0, "a new link is greeted after these", "");
 	client_close(&client);
 }
@@ -511,7 +512,8 @@
 	hello.protocol = KWB_PROTOCOL;
 	hello.vm = "client";
 	client_send(client, &frame);
-	answer = client_await(client, KWB__WIRE__FRAME__BODY_HELLO, 0, 2000);
+	answer =
+	    client_wait_frame(client, KWB__WIRE__FRAME__BODY_HELLO, 0, 2000);
 	if (answer != NULL) {
 		client->incarnation = answer->hello->incarnation;
 		client->revision = answer->hello->lists_revision;
@@ -542,7 +544,7 @@
 
 /* The next frame of the kind for the request; others are passed over. */
 static Kwb__Wire__Frame *
-client_await(struct client *client, Kwb__Wire__Frame__BodyCase kind,
+client_wait_frame(struct client *client, Kwb__Wire__Frame__BodyCase kind,
     uint64_t request, uint32_t timeout_ms)
 {
 	uint64_t deadline_ns = kwb_clock_now_ns() + timeout_ms * KWB_MS_NS;
@@ -561,7 +563,7 @@
 			if (ours)
 				return frame;
 			if (frame->body_case == KWB__WIRE__FRAME__BODY_DONE)
-				client->last_done = frame->done->outcome;
+				client->last_outcome = frame->done->outcome;
 			kwb_frame_free(frame);
 		}
 		got = recv(client->fd, chunk, sizeof(chunk), 0);
@@ -577,9 +579,9 @@
 }
 
 static void
-check(bool right, const char *name, const char *detail)
+check(bool is_right, const char *name, const char *detail)
 {
-	if (right) {
+	if (is_right) {
 		passed++;
 		return;
 	}
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -15,19 +15,19 @@
 
 #include "session.h"
 
-#define SLOTS 4
+#define PARALLEL_SESSIONS 4
 #define BASE_PORT 21000
 #define SESSIONS_MAX 512
-#define KNOWN_RED "KNOWN-RED.txt"
+#define KNOWN_FAILURES_FILE "KNOWN-RED.txt"
 
-struct plan_line {
+struct session_spec {
 	const char *first;
 	const char *second; /* NULL for one alone */
 	uint64_t seed;
 };
 
 /* Pairs, and the same fault twice in a row at targets of its own. */
-static const struct plan_line pairs[] = {
+static const struct session_spec pairs[] = {
     {"kill_entry", "table_down", 11},
     {"kill_llm", "table_down", 12},
     {"kill_shop", "table_loses", 13},
@@ -48,17 +48,17 @@
     {"vm_lost", "table_down", 28},
 };
 
-static const struct fault *fault_find(const char *name);
-static int run_one(const struct plan_line *line, uint16_t base_port);
-static int run_all(const struct plan_line *lines, unsigned count);
-static bool known_red(const struct plan_line *line);
-static void line_print(
-    const struct plan_line *line, char *text, size_t room_bytes);
+static const struct fault *find_fault(const char *name);
+static int run_session(const struct session_spec *spec, uint16_t base_port);
+static int run_sessions(const struct session_spec *specs, unsigned count);
+static bool is_known_failure(const struct session_spec *spec);
+static void print_session_spec(
+    const struct session_spec *spec, char *text, size_t capacity_bytes);
 
 int
 main(int argc, char **argv)
 {
-	static struct plan_line lines[SESSIONS_MAX];
+	static struct session_spec specs[SESSIONS_MAX];
 	unsigned i, count = 0, state = (unsigned)time(NULL);
 
 	kwb_log_init("faults", KWB_LOG_ERROR);
@@ -67,38 +67,38 @@
 	if (argc == 3 && strcmp(argv[1], "--soak") == 0) {
 		count = (unsigned)atoi(argv[2]) % SESSIONS_MAX;
 		for (i = 0; i < count; i++) {
-			lines[i].first =
+			specs[i].first =
 			    session_faults[(unsigned)rand_r(&state) %
 				session_faults_count]
 				.name;
-			lines[i].second =
+			specs[i].second =
 			    session_faults[(unsigned)rand_r(&state) %
 				session_faults_count]
 				.name;
-			lines[i].seed = (unsigned)rand_r(&state);
+			specs[i].seed = (unsigned)rand_r(&state);
 		}
-		return run_all(lines, count);
+		return run_sessions(specs, count);
 	}
 	if (argc > 1) {
 		const char *last = argv[argc - 1];
 
-		lines[0].first = argv[1];
-		lines[0].seed = fault_find(last) ? 1 : strtoull(last, NULL, 10);
-		if (argc > 2 && fault_find(argv[2]))
-			lines[0].second = argv[2];
-		return run_one(&lines[0], BASE_PORT);
+		specs[0].first = argv[1];
+		specs[0].seed = find_fault(last) ? 1 : strtoull(last, NULL, 10);
+		if (argc > 2 && find_fault(argv[2]))
+			specs[0].second = argv[2];
+		return run_session(&specs[0], BASE_PORT);
 	}
 	for (i = 0; i < session_faults_count; i++) {
-		lines[count].first = session_faults[i].name;
-		lines[count++].seed = i + 1;
+		specs[count].first = session_faults[i].name;
+		specs[count++].seed = i + 1;
 	}
 	for (i = 0; i < sizeof(pairs) / sizeof(pairs[0]); i++)
-		lines[count++] = pairs[i];
-	return run_all(lines, count);
+		specs[count++] = pairs[i];
+	return run_sessions(specs, count);
 }
 
 static const struct fault *
-fault_find(const char *name)
+find_fault(const char *name)
 {
 	unsigned i;
 
@@ -109,87 +109,89 @@
 }
 
 static int
-run_one(const struct plan_line *line, uint16_t base_port)
+run_session(const struct session_spec *spec, uint16_t base_port)
 {
 	static struct session session;
 	char text[128];
 	unsigned i;
 	bool passed;
 
-	line_print(line, text, sizeof(text));
-	if (fault_find(line->first) == NULL && strcmp(line->first, "none")) {
-		fprintf(stderr, "no fault %s\n", line->first);
+	print_session_spec(spec, text, sizeof(text));
+	if (find_fault(spec->first) == NULL && strcmp(spec->first, "none")) {
+		fprintf(stderr, "no fault %s\n", spec->first);
 		return 2;
 	}
-	passed = session_run(&session, fault_find(line->first),
-	    fault_find(line->second), line->seed, base_port);
+	passed = session_run(&session, find_fault(spec->first),
+	    find_fault(spec->second), spec->seed, base_port);
 	printf("%s %-40s steps=%u samples=%u answers=%u refused=%u orders=%u "
 	       "step_after_ms=%u order_after_ms=%u\n",
-	    passed ? "ok    " : "FAILED", text, session.steps, session.samples,
-	    session.answers, session.refused, session.orders_count,
-	    (unsigned)(session.step_after_ns / KWB_MS_NS),
-	    (unsigned)(session.order_after_ns / KWB_MS_NS));
-	for (i = 0; i < session.reasons_count; i++)
-		printf("         %s\n", session.reasons[i]);
+	    passed ? "ok    " : "FAILED", text, session.complete_steps,
+	    session.samples, session.answers, session.refused_requests,
+	    session.orders_count,
+	    (unsigned)(session.step_recovery_ns / KWB_MS_NS),
+	    (unsigned)(session.order_recovery_ns / KWB_MS_NS));
+	for (i = 0; i < session.failures_count; i++)
+		printf("         %s\n", session.failures[i]);
 	if (!passed)
 		printf(
 		    "         again with: build/tests/faults %s; logs in %s\n",
-		    text, session.world.directory);
+		    text, session.cluster.directory);
 	fflush(stdout);
 	return passed ? 0 : 1;
 }
 
 /* Runs several sessions at a time, each in a process with its own ports. */
 static int
-run_all(const struct plan_line *lines, unsigned count)
+run_sessions(const struct session_spec *specs, unsigned count)
 {
-	pid_t pids[SLOTS] = {0};
-	unsigned running_line[SLOTS] = {0}, next = 0, done = 0, slot;
-	unsigned passed = 0, failed = 0, red = 0;
+	pid_t pids[PARALLEL_SESSIONS] = {0};
+	unsigned running_spec[PARALLEL_SESSIONS] = {0}, next = 0, done = 0,
+		 slot;
+	unsigned passed = 0, failed = 0, known_failures = 0;
 	int status;
 	pid_t pid;
 
 	fflush(stdout);
 	while (done < count) {
-		for (slot = 0; slot < SLOTS; slot++) {
+		for (slot = 0; slot < PARALLEL_SESSIONS; slot++) {
 			if (pids[slot] != 0 || next == count)
 				continue;
-			running_line[slot] = next;
+			running_spec[slot] = next;
 			pids[slot] = fork();
 			if (pids[slot] == 0)
-				_exit(run_one(&lines[next],
+				_exit(run_session(&specs[next],
 				    (uint16_t)(BASE_PORT +
-					slot * WORLD_PORTS)));
+					slot * CLUSTER_PORTS_COUNT)));
 			next++;
 		}
 		pid = wait(&status);
-		for (slot = 0; slot < SLOTS; slot++) {
+		for (slot = 0; slot < PARALLEL_SESSIONS; slot++) {
 			if (pids[slot] != pid)
 				continue;
 			pids[slot] = 0;
 			done++;
 			if (WIFEXITED(status) && WEXITSTATUS(status) == 0)
 				passed++;
-			else if (known_red(&lines[running_line[slot]]))
-				red++;
+			else if (is_known_failure(&specs[running_spec[slot]]))
+				known_failures++;
 			else
 				failed++;
 		}
 	}
 	printf("fault sessions: %u passed, %u failed, %u known red\n", passed,
-	    failed, red);
+	    failed, known_failures);
 	return failed > 0;
 }
 
 /* Whether the session stands in the list of known faults. */
 static bool
-known_red(const struct plan_line *line)
+is_known_failure(const struct session_spec *spec)
 {
 	char wanted[128], text[512];
-	FILE *file = fopen(KNOWN_RED, "r");
+	FILE *file = fopen(KNOWN_FAILURES_FILE, "r");
 	bool found = false;
 
-	line_print(line, wanted, sizeof(wanted));
+	print_session_spec(spec, wanted, sizeof(wanted));
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strstr(text, "build/tests/faults ") != NULL &&
 		    strstr(text, wanted) != NULL)
@@ -202,9 +204,10 @@
 }
 
 static void
-line_print(const struct plan_line *line, char *text, size_t room_bytes)
+print_session_spec(
+    const struct session_spec *spec, char *text, size_t capacity_bytes)
 {
-	snprintf(text, room_bytes, "%s%s%s %llu", line->first,
-	    line->second ? " " : "", line->second ? line->second : "",
-	    (unsigned long long)line->seed);
+	snprintf(text, capacity_bytes, "%s%s%s %llu", spec->first,
+	    spec->second ? " " : "", spec->second ? spec->second : "",
+	    (unsigned long long)spec->seed);
 }
--- a/tests/fuzz/document.c
+++ b/tests/fuzz/document.c
@@ -9,7 +9,7 @@
 #include "fuzz.h"
 
 static void
-read_one(uint8_t which, const char *text, size_t length_bytes)
+parse_document(uint8_t which, const char *text, size_t length_bytes)
 {
 	struct kwb_node_config config;
 	struct kwb_upstream_status status;
@@ -56,7 +56,7 @@
 	/* Rows end with a NUL behind their value. */
 	memcpy(text, data + 1, length_bytes - 1);
 	text[length_bytes - 1] = '\0';
-	read_one(data[0], text, length_bytes - 1);
+	parse_document(data[0], text, length_bytes - 1);
 	free(text);
 	return 0;
 }
--- a/tests/fuzz/exchange.h
+++ b/tests/fuzz/exchange.h
@@ -14,8 +14,9 @@
 #include "fuzz.h"
 #include "kwb_node.h"
 
-#define PIECE_MAX_BYTES 4096
-#define LOOPS_MAX 64 /* of the event loop, until all has been read */
+#define CHUNK_MAX_BYTES 4096
+#define EVENT_LOOP_ROUNDS_MAX                                                  \
+	64 /* of the event loop, until all has been read */
 
 struct fuzz_conn {
 	struct kwb_conn conn;
@@ -24,7 +25,7 @@
 };
 
 static void
-fuzz_message(struct kwb_conn *conn)
+fuzz_on_message(struct kwb_conn *conn)
 {
 	struct fuzz_conn *fuzz = conn->context;
 
@@ -33,7 +34,7 @@
 }
 
 static void
-fuzz_close(struct kwb_conn *conn, int error)
+fuzz_on_close(struct kwb_conn *conn, int error)
 {
 	struct fuzz_conn *fuzz = conn->context;
 
@@ -42,7 +43,7 @@
 }
 
 static const struct kwb_conn_ops fuzz_ops = {
-    .on_message = fuzz_message, .on_close = fuzz_close};
+    .on_message = fuzz_on_message, .on_close = fuzz_on_close};
 
 /* The first byte says in pieces of which length the others come. */
 static void
@@ -51,9 +52,9 @@
 {
 	static struct event_base *base;
 	struct fuzz_conn fuzz = {.on_message = on_message};
-	size_t piece;
-	size_t at = 1;
-	int ends[2];
+	size_t chunk_bytes;
+	size_t offset = 1;
+	int sockets[2];
 	unsigned i;
 
 	if (base == NULL) {
@@ -61,9 +62,10 @@
 		base = event_base_new();
 	}
 	if (length_bytes < 2 ||
-	    socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) != 0)
+	    socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets) != 0)
 		return;
-	if (kwb_conn_accept(&fuzz.conn, base, ends[0], &fuzz_ops, &fuzz) != 0)
+	if (kwb_conn_accept(&fuzz.conn, base, sockets[0], &fuzz_ops, &fuzz) !=
+	    0)
 		abort();
 	fuzz.conn.head_max_bytes = 8192;
 	fuzz.conn.body_max_bytes = 65536;
@@ -72,17 +74,19 @@
 		http_parser_init(&fuzz.conn.parser, HTTP_RESPONSE);
 		fuzz.conn.parser.data = &fuzz.conn;
 	}
-	piece = data[0] == 0 ? PIECE_MAX_BYTES : data[0];
-	for (i = 0; i < LOOPS_MAX && at < length_bytes && !fuzz.closed; i++) {
-		size_t left = length_bytes - at;
-		ssize_t sent =
-		    write(ends[1], data + at, left < piece ? left : piece);
+	chunk_bytes = data[0] == 0 ? CHUNK_MAX_BYTES : data[0];
+	for (i = 0;
+	     i < EVENT_LOOP_ROUNDS_MAX && offset < length_bytes && !fuzz.closed;
+	     i++) {
+		size_t left = length_bytes - offset;
+		ssize_t sent = write(sockets[1], data + offset,
+		    left < chunk_bytes ? left : chunk_bytes);
 
 		if (sent > 0)
-			at += (size_t)sent;
+			offset += (size_t)sent;
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
-	close(ends[1]);
+	close(sockets[1]);
 	if (!fuzz.closed)
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	kwb_conn_finish(&fuzz.conn);
--- a/tests/fuzz/frame.c
+++ b/tests/fuzz/frame.c
@@ -8,7 +8,7 @@
 #include "fuzz.h"
 
 static void
-frame_again(const struct Kwb__Wire__Frame *frame)
+repack_frame(const struct Kwb__Wire__Frame *frame)
 {
 	struct Kwb__Wire__Frame *again = NULL;
 	struct kwb_buf out;
@@ -31,7 +31,7 @@
 	if (kwb_buf_add(&in, data, length_bytes) != 0)
 		abort();
 	while (kwb_frame_unpack(&in, &frame) == 1) {
-		frame_again(frame);
+		repack_frame(frame);
 		kwb_frame_free(frame);
 	}
 	kwb_buf_finish(&in);
--- a/tests/fuzz/stream.c
+++ b/tests/fuzz/stream.c
@@ -1,6 +1,6 @@
 /*
- * Fuzz target: streams of events, split at any point. What is told must not
- * depend on where.
+ * Fuzz target: streams of events, split at any point. The parsed events must
+ * not depend on where.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "fuzz.h"
 #include "kwb_node.h"
 
-struct told {
+struct event_digest {
 	uint64_t count;
 	uint64_t hash;
 };
@@ -16,33 +16,35 @@
 static void
 on_event(void *context, const struct kwb_sse_event *event)
 {
-	struct told *told = context;
+	struct event_digest *digest = context;
 	size_t i;
 
-	told->count++;
-	told->hash = told->hash * 31 + event->id + event->version;
+	digest->count++;
+	digest->hash = digest->hash * 31 + event->id + event->version;
 	for (i = 0; i < event->data.used_bytes; i++)
-		told->hash = told->hash * 31 + (uint8_t)event->data.data[i];
+		digest->hash = digest->hash * 31 + (uint8_t)event->data.data[i];
 }
 
 static int
-feed(const uint8_t *data, size_t length_bytes, size_t piece, struct told *told)
+feed(const uint8_t *data, size_t length_bytes, size_t chunk_bytes,
+    struct event_digest *digest)
 {
 	struct kwb_sse_parser events;
 	struct kwb_buf bytes;
-	size_t at;
+	size_t offset;
 	int code = 0;
 
-	memset(told, 0, sizeof(*told));
+	memset(digest, 0, sizeof(*digest));
 	kwb_sse_parser_init(&events, "weight-versions");
 	kwb_buf_init(&bytes);
-	for (at = 0; at < length_bytes && code == 0; at += piece) {
-		size_t left = length_bytes - at;
+	for (offset = 0; offset < length_bytes && code == 0;
+	     offset += chunk_bytes) {
+		size_t left = length_bytes - offset;
 
-		if (kwb_buf_add(
-			&bytes, data + at, left < piece ? left : piece) != 0)
+		if (kwb_buf_add(&bytes, data + offset,
+			left < chunk_bytes ? left : chunk_bytes) != 0)
 			abort();
-		code = kwb_sse_parser_feed(&events, &bytes, on_event, told);
+		code = kwb_sse_parser_feed(&events, &bytes, on_event, digest);
 	}
 	kwb_sse_parser_finish(&events);
 	kwb_buf_finish(&bytes);
@@ -53,8 +55,8 @@
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t length_bytes)
 {
 	struct kwb_buf bytes;
-	struct told whole;
-	struct told split;
+	struct event_digest whole;
+	struct event_digest split;
 	uint64_t last = 0;
 	int code;
 
--- a/tests/fuzz/trace.c
+++ b/tests/fuzz/trace.c
@@ -16,18 +16,19 @@
 	struct kwb_trace trace;
 	char line[LINE_BYTES];
 	uint32_t i;
-	size_t at = 0;
+	size_t offset = 0;
 	size_t end;
 
 	if (kwb_trace_init(&trace, "b", NULL) != 0)
 		abort();
-	for (; at < length_bytes; at = end + 1) {
-		for (end = at; end < length_bytes && text[end] != '\n'; end++)
+	for (; offset < length_bytes; offset = end + 1) {
+		for (end = offset; end < length_bytes && text[end] != '\n';
+		     end++)
 			;
-		if (end - at >= sizeof(line))
+		if (end - offset >= sizeof(line))
 			continue;
-		memcpy(line, text + at, end - at);
-		line[end - at] = '\0';
+		memcpy(line, text + offset, end - offset);
+		line[end - offset] = '\0';
 		if (kwb_trace_add(&trace, line) != 0)
 			abort();
 	}
--- a/tests/golden.c
+++ b/tests/golden.c
@@ -40,28 +40,30 @@
     "  - {plan: search, concurrent: 4, queue: 10}\n"
     "  - {plan: orders, concurrent: 4, queue: 10}\n";
 
-static bool script_run(struct world *world, const char *path, bool write);
-static const char *command_run(
-    struct world *world, char *line, const char *rest, struct kwb_buf *out);
-static void run_ctl(struct world *world, char **words, struct kwb_buf *out);
-static void run_http(struct world *world, char **words, struct kwb_buf *out);
-static const char *run_file(struct world *world, const char *name,
+static bool run_script(struct cluster *cluster, const char *path, bool write);
+static const char *run_command(
+    struct cluster *cluster, char *line, const char *rest, struct kwb_buf *out);
+static void run_kwbctl(
+    struct cluster *cluster, char **words, struct kwb_buf *out);
+static void run_http(
+    struct cluster *cluster, char **words, struct kwb_buf *out);
+static const char *run_file_command(struct cluster *cluster, const char *name,
     const char *rest, struct kwb_buf *out);
-static void normalize(const struct world *world, struct kwb_buf *text);
+static void normalize(const struct cluster *cluster, struct kwb_buf *text);
 static void replace_all(struct kwb_buf *text, const char *from, const char *to);
-static void hide_number(struct kwb_buf *text, const char *after);
+static void mask_numbers(struct kwb_buf *text, const char *after);
 
 int
 main(int argc, char **argv)
 {
-	static struct world world;
-	struct world_shape shape = {.entries = 2,
+	static struct cluster cluster;
+	struct cluster_spec spec = {.entries = 2,
 	    .engines = 2,
 	    .services = 1,
-	    .domains = 2,
+	    .failure_domains = 2,
 	    .models = "m",
 	    .slots = 8,
-	    .reserve = 1,
+	    .interactive_reserve = 1,
 	    .engine_args = "--token_us 2000",
 	    .lists = lists_text};
 	bool write = argc > 1 && strcmp(argv[1], "--write") == 0;
@@ -74,12 +76,13 @@
 	signal(SIGPIPE, SIG_IGN);
 	glob("tests/scripts/*.txt", 0, NULL, &found);
 	for (i = 0; i < found.gl_pathc; i++) {
-		bool right = world_start(&world, &shape, BASE_PORT) == 0 &&
-		    script_run(&world, found.gl_pathv[i], write);
+		bool is_equal =
+		    cluster_start(&cluster, &spec, BASE_PORT) == 0 &&
+		    run_script(&cluster, found.gl_pathv[i], write);
 
-		world_stop(&world);
-		passed += right;
-		failed += !right;
+		cluster_stop(&cluster);
+		passed += is_equal;
+		failed += !is_equal;
 	}
 	globfree(&found);
 	printf("golden sessions: %u passed, %u failed\n", passed, failed);
@@ -88,15 +91,15 @@
 
 /* Runs the commands, making the script anew as it should read. */
 static bool
-script_run(struct world *world, const char *path, bool write)
+run_script(struct cluster *cluster, const char *path, bool write)
 {
-	struct kwb_buf script, made, out;
+	struct kwb_buf script, actual, out;
 	const char *rest, *line;
-	bool right;
+	bool is_equal;
 	FILE *file;
 
 	kwb_buf_init(&script);
-	kwb_buf_init(&made);
+	kwb_buf_init(&actual);
 	kwb_buf_init(&out);
 	kwb_file_read(path, &script);
 	for (rest = kwb_buf_text(&script); *rest != '\0';) {
@@ -107,35 +110,35 @@
 		rest += length + (rest[length] == '\n');
 		if (strncmp(line, "$ ", 2) != 0 && line[0] != '#')
 			continue;
-		kwb_buf_add(&made, line, length);
-		kwb_buf_add(&made, "\n", 1);
+		kwb_buf_add(&actual, line, length);
+		kwb_buf_add(&actual, "\n", 1);
 		if (line[0] == '#')
 			continue;
 		snprintf(command, sizeof(command), "%.*s", (int)length - 2,
 		    line + 2);
 		kwb_buf_finish(&out);
-		rest = command_run(world, command, rest, &out);
-		normalize(world, &out);
-		kwb_buf_add(&made, kwb_buf_text(&out), out.used_bytes);
+		rest = run_command(cluster, command, rest, &out);
+		normalize(cluster, &out);
+		kwb_buf_add(&actual, kwb_buf_text(&out), out.used_bytes);
 	}
-	right = strcmp(kwb_buf_text(&script), kwb_buf_text(&made)) == 0;
-	if (!right && !write)
-		printf("FAILED %s; this came out:\n%s\n", path, made.data);
+	is_equal = strcmp(kwb_buf_text(&script), kwb_buf_text(&actual)) == 0;
+	if (!is_equal && !write)
+		printf("FAILED %s; this came out:\n%s\n", path, actual.data);
 	if (write) {
 		file = fopen(path, "w");
-		fputs(made.data, file);
+		fputs(actual.data, file);
 		fclose(file);
 	}
 	kwb_buf_finish(&script);
-	kwb_buf_finish(&made);
+	kwb_buf_finish(&actual);
 	kwb_buf_finish(&out);
-	return right;
+	return is_equal;
 }
 
 /* Returns where the script goes on. */
 static const char *
-command_run(
-    struct world *world, char *line, const char *rest, struct kwb_buf *out)
+run_command(
+    struct cluster *cluster, char *line, const char *rest, struct kwb_buf *out)
 {
 	char *words[WORDS_MAX] = {NULL}, *word;
 	unsigned count = 0;
@@ -155,24 +158,25 @@
 		words[count++] = word;
 	}
 	if (strcmp(words[0], "ctl") == 0)
-		run_ctl(world, words, out);
+		run_kwbctl(cluster, words, out);
 	else if (strcmp(words[0], "http") == 0)
-		run_http(world, words, out);
+		run_http(cluster, words, out);
 	else if (strcmp(words[0], "file") == 0)
-		return run_file(world, words[1], rest, out);
+		return run_file_command(cluster, words[1], rest, out);
 	else if (strcmp(words[0], "set") == 0)
-		world_set(world, words[1], words[2], atoi(words[3]));
+		cluster_set_control(
+		    cluster, words[1], words[2], atoi(words[3]));
 	else if (strcmp(words[0], "kill") == 0)
-		world_kill(world, words[1]);
+		cluster_kill_process(cluster, words[1]);
 	else if (strcmp(words[0], "run") == 0)
-		world_run(world, words[1]);
+		cluster_start_process(cluster, words[1]);
 	else if (strcmp(words[0], "sleep") == 0)
 		kwb_clock_sleep_ns((uint64_t)atoi(words[1]) * KWB_MS_NS);
 	return rest;
 }
 
 static void
-run_ctl(struct world *world, char **words, struct kwb_buf *out)
+run_kwbctl(struct cluster *cluster, char **words, struct kwb_buf *out)
 {
 	char path[256], paths[WORDS_MAX][256];
 	const char *arguments[WORDS_MAX + 1] = {NULL};
@@ -183,28 +187,28 @@
 		arguments[i - 1] = words[i];
 		if (strstr(words[i], ".yaml") == NULL)
 			continue;
-		snprintf(paths[i], sizeof(paths[i]), "%s/%s", world->directory,
-		    words[i]);
+		snprintf(paths[i], sizeof(paths[i]), "%s/%s",
+		    cluster->directory, words[i]);
 		arguments[i - 1] = paths[i];
 	}
-	snprintf(path, sizeof(path), "%s/ctl.out", world->directory);
+	snprintf(path, sizeof(path), "%s/ctl.out", cluster->directory);
 	remove(path);
-	code = world_ctl(world, arguments, path);
+	code = cluster_run_kwbctl(cluster, arguments, path);
 	kwb_buf_printf(out, "exit %d\n", code);
 	kwb_file_read(path, out);
 }
 
 static void
-run_http(struct world *world, char **words, struct kwb_buf *out)
+run_http(struct cluster *cluster, char **words, struct kwb_buf *out)
 {
 	char url[1024], outcome[16];
 	struct kwb_buf answer;
 	int status;
 
-	world_url(world, words[2], url, 128);
+	cluster_print_url(cluster, words[2], url, 128);
 	snprintf(url + strlen(url), sizeof(url) - strlen(url), "%s", words[3]);
 	kwb_buf_init(&answer);
-	status = world_http(words[1], url,
+	status = cluster_http_request(words[1], url,
 	    words[4] && strcmp(words[4], "-") ? words[4] : NULL,
 	    words[4] ? words[5] : NULL, &answer, outcome, 10000);
 	kwb_buf_printf(out, "%d %s\n%s", status, outcome[0] ? outcome : "-",
@@ -215,7 +219,7 @@
 }
 
 static const char *
-run_file(struct world *world, const char *name, const char *rest,
+run_file_command(struct cluster *cluster, const char *name, const char *rest,
     struct kwb_buf *out)
 {
 	const char *end = strstr(rest, "\n.\n");
@@ -224,7 +228,7 @@
 
 	if (end == NULL)
 		return rest;
-	snprintf(path, sizeof(path), "%s/%s", world->directory, name);
+	snprintf(path, sizeof(path), "%s/%s", cluster->directory, name);
 	file = fopen(path, "w");
 	fwrite(rest, 1, (size_t)(end + 1 - rest), file);
 	fclose(file);
@@ -234,17 +238,17 @@
 
 /* Takes out what differs from run to run. */
 static void
-normalize(const struct world *world, struct kwb_buf *text)
+normalize(const struct cluster *cluster, struct kwb_buf *text)
 {
 	static const char *const numbers[] = {
 	    "after ", "entry-1-", "entry-2-", "shop-3.", "\"time_ms\":"};
 	char directory[256];
 	size_t i;
 
-	snprintf(directory, sizeof(directory), "%s/", world->directory);
+	snprintf(directory, sizeof(directory), "%s/", cluster->directory);
 	replace_all(text, directory, "");
 	for (i = 0; i < sizeof(numbers) / sizeof(numbers[0]); i++)
-		hide_number(text, numbers[i]);
+		mask_numbers(text, numbers[i]);
 }
 
 static void
@@ -266,7 +270,7 @@
 
 /* Puts N in place of the digits behind a mark. */
 static void
-hide_number(struct kwb_buf *text, const char *after)
+mask_numbers(struct kwb_buf *text, const char *after)
 {
 	struct kwb_buf out;
 	const char *at, *rest = kwb_buf_text(text);
--- a/tests/session.c
+++ b/tests/session.c
@@ -14,12 +14,12 @@
 #include "session.h"
 
 #define CALLERS 3
-#define ORDERERS 3
+#define ORDER_CLIENTS 3
 #define ENTRIES 2
 #define ENGINES 3
 #define SERVICES 2
-#define WARM_MS 1000
-#define AFTER_MS 3500
+#define WARM_UP_MS 1000
+#define RECOVERY_MS 3500
 #define CALL_TIMEOUT_MS 4000
 #define CLIENT_SLACK_MS 1500
 #define STEP_DEADLINE_MS 30000
@@ -30,10 +30,10 @@
 #define LENGTH_MEDIAN 60
 #define LENGTH_SPREAD 60
 #define MAX_TOKENS 200
-#define BOUND_VERSIONS 2
-#define LEAVE_MS 3000
-#define FORCE_MS 6000
-#define SAMPLE_ROUND_NS (30 * KWB_MS_NS)
+#define STALENESS_BOUND_VERSIONS 2
+#define LEAVING_GRACE_MS 3000
+#define IN_FORCE_MAX_MS 6000
+#define MONITOR_ROUND_MAX_NS (30 * KWB_MS_NS)
 
 static const char lists_text[] =
     "plans:\n"
@@ -61,97 +61,100 @@
 	pthread_t thread;
 };
 
-static void *train(void *argument);
-static void *ask(void *argument);
-static void *order(void *argument);
-static void *sample(void *argument);
-static void *edit(void *argument);
-static void order_one(struct worker *worker, unsigned count);
-static bool answer_is_true(const char *text, const char *prompt, uint64_t seed);
-static unsigned entry_for(struct worker *worker);
-static void entry_url(struct session *session, unsigned entry, char *url);
-static void note_broken(
+static void *run_trainer(void *argument);
+static void *run_caller(void *argument);
+static void *run_order_client(void *argument);
+static void *run_monitor(void *argument);
+static void *run_operator(void *argument);
+static void place_order(struct worker *worker, unsigned count);
+static bool is_expected_answer(
+    const char *text, const char *prompt, uint64_t seed);
+static unsigned pick_healthy_entry(struct worker *worker);
+static void print_entry_url(struct session *session, unsigned entry, char *url);
+static void count_broken_request(
     struct session *session, unsigned entry, uint64_t begun_ns, int status);
-static void sample_allowance(struct session *session);
-static void sample_revisions(struct session *session, uint64_t *seen);
-static void judge(struct session *session);
-static void judge_orders(struct session *session);
-static void judge_force(struct session *session);
-static int64_t leaver_started(
+static void check_running_requests(struct session *session);
+static void check_revisions(struct session *session, uint64_t *seen);
+static void verify_session(struct session *session);
+static void verify_order_outcomes(struct session *session);
+static void verify_change_in_force(struct session *session);
+static int64_t leaving_upstream_requests(
     struct session *session, const struct fault *fault, unsigned index);
 
 bool
 session_run(struct session *session, const struct fault *first,
     const struct fault *second, uint64_t seed, uint16_t base_port)
 {
-	struct world_shape shape = {.entries = ENTRIES,
+	struct cluster_spec spec = {.entries = ENTRIES,
 	    .engines = ENGINES,
 	    .services = SERVICES,
-	    .domains = 2,
-	    .relays = true,
+	    .failure_domains = 2,
+	    .has_relays = true,
 	    .models = "m,c",
 	    .slots = 16,
-	    .reserve = 2,
+	    .interactive_reserve = 2,
 	    .engine_args = "--token_us 3000 --length_median 60 "
 			   "--length_spread 60",
 	    .lists = lists_text};
-	struct worker workers[CALLERS + ORDERERS + 3];
+	struct worker workers[CALLERS + ORDER_CLIENTS + 3];
 	unsigned i, count = 0, index = (unsigned)(seed * 7919 % 65536);
 	int64_t before = -1, after = -1;
 
 	memset(session, 0, sizeof(*session));
 	pthread_mutex_init(&session->lock, NULL);
 	session->seed = seed;
-	session->planned = (first == NULL || first->planned) &&
-	    (second == NULL || second->planned);
-	if (world_start(&session->world, &shape, base_port) != 0) {
+	session->is_planned = (first == NULL || first->is_planned) &&
+	    (second == NULL || second->is_planned);
+	if (cluster_start(&session->cluster, &spec, base_port) != 0) {
 		session_fail(session, "the world did not start");
-		world_stop(&session->world);
+		cluster_stop(&session->cluster);
 		return false;
 	}
-	for (i = 0; i < CALLERS + ORDERERS + 3; i++) {
-		static void *(*const runs[])(void *) = {train, sample, edit};
+	for (i = 0; i < CALLERS + ORDER_CLIENTS + 3; i++) {
+		static void *(*const runs[])(void *) = {
+		    run_trainer, run_monitor, run_operator};
 
 		workers[i].session = session;
 		workers[i].number = i;
 		workers[i].state = (unsigned)seed * 131 + i;
 		pthread_create(&workers[i].thread, NULL,
 		    i < 3		  ? runs[i]
-			: i < 3 + CALLERS ? ask
-					  : order,
+			: i < 3 + CALLERS ? run_caller
+					  : run_order_client,
 		    &workers[i]);
 		count++;
 	}
-	kwb_clock_sleep_ns(WARM_MS * KWB_MS_NS);
-	atomic_store(&session->faulty, true);
+	kwb_clock_sleep_ns(WARM_UP_MS * KWB_MS_NS);
+	atomic_store(&session->has_fault, true);
 	if (first != NULL) {
-		first->come(session, index);
+		first->inject(session, index);
 		if (second != NULL) {
 			kwb_clock_sleep_ns((seed % 10) * 100 * KWB_MS_NS);
-			second->come(session, index / 7);
+			second->inject(session, index / 7);
 		}
-		kwb_clock_sleep_ns(LEAVE_MS * KWB_MS_NS);
-		before = leaver_started(session, first, index);
-		kwb_clock_sleep_ns((first->hold_ms - LEAVE_MS) * KWB_MS_NS);
-		after = leaver_started(session, first, index);
+		kwb_clock_sleep_ns(LEAVING_GRACE_MS * KWB_MS_NS);
+		before = leaving_upstream_requests(session, first, index);
+		kwb_clock_sleep_ns(
+		    (first->duration_ms - LEAVING_GRACE_MS) * KWB_MS_NS);
+		after = leaving_upstream_requests(session, first, index);
 		if (before != after)
 			session_fail(session,
 			    "%lld new requests at a leaving upstream",
 			    (long long)(after - before));
 		if (second != NULL)
-			second->go(session, index / 7);
-		first->go(session, index);
+			second->heal(session, index / 7);
+		first->heal(session, index);
 	}
 	session->healed_ns = kwb_clock_now_ns();
-	atomic_store(&session->faulty, false);
-	kwb_clock_sleep_ns(AFTER_MS * KWB_MS_NS);
-	judge_force(session);
-	atomic_store(&session->stopping, true);
+	atomic_store(&session->has_fault, false);
+	kwb_clock_sleep_ns(RECOVERY_MS * KWB_MS_NS);
+	verify_change_in_force(session);
+	atomic_store(&session->is_stopping, true);
 	for (i = 0; i < count; i++)
 		pthread_join(workers[i].thread, NULL);
-	judge(session);
-	world_stop(&session->world);
-	return session->reasons_count == 0;
+	verify_session(session);
+	cluster_stop(&session->cluster);
+	return session->failures_count == 0;
 }
 
 void
@@ -160,10 +163,10 @@
 	va_list args;
 
 	pthread_mutex_lock(&session->lock);
-	if (session->reasons_count < SESSION_REASONS_MAX) {
+	if (session->failures_count < SESSION_FAILURES_MAX) {
 		va_start(args, format);
-		vsnprintf(session->reasons[session->reasons_count++],
-		    sizeof(session->reasons[0]), format, args);
+		vsnprintf(session->failures[session->failures_count++],
+		    sizeof(session->failures[0]), format, args);
 		va_end(args);
 	}
 	pthread_mutex_unlock(&session->lock);
@@ -171,7 +174,7 @@
 
 /* Pulls step after step, publishing new weights after each. */
 static void *
-train(void *argument)
+run_trainer(void *argument)
 {
 	struct worker *worker = argument;
 	struct session *session = worker->session;
@@ -182,7 +185,7 @@
 	    .samples = 4,
 	    .max_tokens = MAX_TOKENS,
 	    .weight_version = 1,
-	    .bound_versions = BOUND_VERSIONS,
+	    .bound_versions = STALENESS_BOUND_VERSIONS,
 	    .length_median = LENGTH_MEDIAN,
 	    .length_spread = LENGTH_SPREAD,
 	    .resend_ms = RESEND_MS};
@@ -191,23 +194,23 @@
 	unsigned i;
 
 	for (i = 0; i < ENTRIES; i++) {
-		entry_url(session, i + 1, urls[i]);
+		print_entry_url(session, i + 1, urls[i]);
 		trainer.entries[i] = urls[i];
 	}
-	for (step = 1; !atomic_load(&session->stopping); step++) {
+	for (step = 1; !atomic_load(&session->is_stopping); step++) {
 		trainer.deadline_ns =
 		    kwb_clock_now_ns() + STEP_DEADLINE_MS * KWB_MS_NS;
 		trainer_pull(&trainer, step, &result);
 		pthread_mutex_lock(&session->lock);
-		session->steps += result.complete;
-		session->incomplete += !result.complete;
+		session->complete_steps += result.complete;
+		session->incomplete_steps += !result.complete;
 		session->samples += result.received;
-		session->doubled += result.doubled;
-		session->wrong += result.wrong;
-		session->stale += result.stale;
-		if (session->healed_ns != 0 && session->step_after_ns == 0 &&
+		session->duplicate_samples += result.doubled;
+		session->wrong_samples += result.wrong;
+		session->stale_samples += result.stale;
+		if (session->healed_ns != 0 && session->step_recovery_ns == 0 &&
 		    result.complete)
-			session->step_after_ns =
+			session->step_recovery_ns =
 			    kwb_clock_now_ns() - session->healed_ns;
 		session->trainer_version = ++trainer.weight_version;
 		pthread_mutex_unlock(&session->lock);
@@ -217,16 +220,16 @@
 
 /* Asks for answers and checks each against what the engines make. */
 static void *
-ask(void *argument)
+run_caller(void *argument)
 {
 	struct worker *worker = argument;
 	struct session *session = worker->session;
 	unsigned count;
 
-	for (count = 0; !atomic_load(&session->stopping); count++) {
+	for (count = 0; !atomic_load(&session->is_stopping); count++) {
 		char url[160], prompt[64], body[160], outcome[16];
 		struct kwb_buf answer;
-		unsigned entry = entry_for(worker);
+		unsigned entry = pick_healthy_entry(worker);
 		uint64_t begun_ns = kwb_clock_now_ns();
 		int status;
 
@@ -236,12 +239,13 @@
 		    "{\"prompt\":\"%s\",\"seed\":%u,\"max_tokens\":200,"
 		    "\"stream\":true}",
 		    prompt, count);
-		entry_url(session, entry, url);
+		print_entry_url(session, entry, url);
 		strcat(url, "/v1/plans/search/completions");
 		kwb_buf_init(&answer);
-		status = world_http("POST", url, "X-Kwb-Timeout-Ms: 4000", body,
-		    &answer, outcome, CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
-		note_broken(session, entry, begun_ns, status);
+		status = cluster_http_request("POST", url,
+		    "X-Kwb-Timeout-Ms: 4000", body, &answer, outcome,
+		    CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
+		count_broken_request(session, entry, begun_ns, status);
 		pthread_mutex_lock(&session->lock);
 		if (status == 200) {
 			bool whole =
@@ -249,13 +253,13 @@
 
 			session->answers += whole;
 			if (whole &&
-			    !answer_is_true(
+			    !is_expected_answer(
 				kwb_buf_text(&answer), prompt, count))
 				session->wrong_answers++;
-			if (!whole && session->planned)
-				session->cut_off++;
+			if (!whole && session->is_planned)
+				session->cut_off_requests++;
 		} else if (status != 0) {
-			session->refused++;
+			session->refused_requests++;
 			if (outcome[0] == '\0')
 				session->wrong_answers++;
 		}
@@ -267,29 +271,29 @@
 }
 
 static void *
-order(void *argument)
+run_order_client(void *argument)
 {
 	struct worker *worker = argument;
 	unsigned count;
 
-	for (count = 0; !atomic_load(&worker->session->stopping); count++) {
-		order_one(worker, count);
+	for (count = 0; !atomic_load(&worker->session->is_stopping); count++) {
+		place_order(worker, count);
 		kwb_clock_sleep_ns(10 * KWB_MS_NS);
 	}
 	return NULL;
 }
 
 /*
- * One order, named in one of three ways. With a key or ticket it is repeated
- * through the other entry while its outcome is not known.
+ * One order, named in one of three ways. With a key or ticket it is
+ * repeated through the other entry while its outcome is not known.
  */
 static void
-order_one(struct worker *worker, unsigned count)
+place_order(struct worker *worker, unsigned count)
 {
 	struct session *session = worker->session;
-	char url[160], header[256] = "", outcome[16] = "";
-	struct order_record record = {.fate = ORDER_NONE};
-	unsigned entry = entry_for(worker), tries, way = count % 3;
+	char url[160], header[256] = "", outcome_name[16] = "";
+	struct order_record record = {.outcome = ORDER_NONE};
+	unsigned entry = pick_healthy_entry(worker), tries, way = count % 3;
 	struct kwb_buf answer;
 	uint64_t begun_ns;
 	int status;
@@ -301,10 +305,10 @@
 		snprintf(header, sizeof(header), "Idempotency-Key: k-%u-%u",
 		    worker->number, count);
 	if (way == 2) {
-		entry_url(session, entry, url);
+		print_entry_url(session, entry, url);
 		strcat(url, "/v1/plans/orders/tickets");
-		if (world_http("POST", url, NULL, "", &answer, NULL, 2000) !=
-		    200) {
+		if (cluster_http_request(
+			"POST", url, NULL, "", &answer, NULL, 2000) != 200) {
 			kwb_buf_finish(&answer);
 			return;
 		}
@@ -312,34 +316,34 @@
 		    kwb_buf_text(&answer));
 	}
 	for (tries = 0; tries < (way == 0 ? 1 : 4); tries++) {
-		entry_url(session, entry, url);
+		print_entry_url(session, entry, url);
 		strcat(url, "/v1/plans/orders/call/orders");
 		answer.used_bytes = 0;
 		begun_ns = kwb_clock_now_ns();
-		status = world_http("POST", url, header[0] ? header : NULL,
-		    record.body, &answer, outcome,
-		    CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
-		note_broken(session, entry, begun_ns, status);
-		if (status != 0 && strcmp(outcome, "ran") == 0)
-			record.fate = ORDER_RAN;
-		else if (status != 0 && strcmp(outcome, "not_run") == 0)
-			record.fate = ORDER_NOT_RUN;
+		status = cluster_http_request("POST", url,
+		    header[0] ? header : NULL, record.body, &answer,
+		    outcome_name, CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
+		count_broken_request(session, entry, begun_ns, status);
+		if (status != 0 && strcmp(outcome_name, "ran") == 0)
+			record.outcome = ORDER_RAN;
+		else if (status != 0 && strcmp(outcome_name, "not_run") == 0)
+			record.outcome = ORDER_NOT_RUN;
 		else
-			record.fate = ORDER_UNKNOWN;
-		if (record.fate != ORDER_UNKNOWN)
+			record.outcome = ORDER_UNKNOWN;
+		if (record.outcome != ORDER_UNKNOWN)
 			break;
 		entry = entry % ENTRIES + 1;
 		kwb_clock_sleep_ns(100 * KWB_MS_NS);
 	}
 	pthread_mutex_lock(&session->lock);
-	if (record.fate == ORDER_RAN &&
+	if (record.outcome == ORDER_RAN &&
 	    strstr(kwb_buf_text(&answer), record.body) == NULL)
 		session->wrong_answers++;
 	if (session->orders_count < SESSION_ORDERS_MAX)
 		session->orders[session->orders_count++] = record;
-	if (session->healed_ns != 0 && session->order_after_ns == 0 &&
-	    record.fate == ORDER_RAN)
-		session->order_after_ns =
+	if (session->healed_ns != 0 && session->order_recovery_ns == 0 &&
+	    record.outcome == ORDER_RAN)
+		session->order_recovery_ns =
 		    kwb_clock_now_ns() - session->healed_ns;
 	pthread_mutex_unlock(&session->lock);
 	kwb_buf_finish(&answer);
@@ -347,7 +351,7 @@
 
 /* Tokens of an event stream against the text of the prompt and seed. */
 static bool
-answer_is_true(const char *text, const char *prompt, uint64_t seed)
+is_expected_answer(const char *text, const char *prompt, uint64_t seed)
 {
 	uint64_t sequence = fake_sequence(prompt, seed);
 	uint32_t length = fake_length(sequence, LENGTH_MEDIAN, LENGTH_SPREAD);
@@ -370,43 +374,44 @@
 
 /* As the platform's balancer does: an entry whose health URL is well. */
 static unsigned
-entry_for(struct worker *worker)
+pick_healthy_entry(struct worker *worker)
 {
 	unsigned first = (unsigned)rand_r(&worker->state), tries, entry;
 	char url[160];
 
 	for (tries = 0; tries < ENTRIES; tries++) {
 		entry = (first + tries) % ENTRIES + 1;
-		entry_url(worker->session, entry, url);
+		print_entry_url(worker->session, entry, url);
 		strcat(url, "/health");
-		if (world_http("GET", url, NULL, NULL, NULL, NULL, 500) == 200)
+		if (cluster_http_request(
+			"GET", url, NULL, NULL, NULL, NULL, 500) == 200)
 			return entry;
 	}
 	return first % ENTRIES + 1;
 }
 
 static void
-entry_url(struct session *session, unsigned entry, char *url)
+print_entry_url(struct session *session, unsigned entry, char *url)
 {
-	char name[WORLD_NAME_BYTES];
+	char name[CLUSTER_NAME_MAX_BYTES];
 
 	snprintf(name, sizeof(name), "entry-%u", entry);
-	world_url(&session->world, name, url, 64);
+	cluster_print_url(&session->cluster, name, url, 64);
 }
 
 /* Cut off: no whole answer though every stop was planned. Hung: too late. */
 static void
-note_broken(
+count_broken_request(
     struct session *session, unsigned entry, uint64_t begun_ns, int status)
 {
 	uint64_t passed_ns = kwb_clock_now_ns() - begun_ns;
 
 	pthread_mutex_lock(&session->lock);
-	if (status == 0 && session->planned)
-		session->cut_off++;
+	if (status == 0 && session->is_planned)
+		session->cut_off_requests++;
 	if (passed_ns >= (CALL_TIMEOUT_MS + CLIENT_SLACK_MS) * KWB_MS_NS &&
 	    entry != session->frozen_entry)
-		session->hung++;
+		session->hung_requests++;
 	pthread_mutex_unlock(&session->lock);
 }
 
@@ -419,23 +424,24 @@
 	pthread_mutex_lock(&session->lock);
 	newest = session->trainer_version;
 	pthread_mutex_unlock(&session->lock);
-	if (newest > *published && world_publish(&session->world, "m", newest))
+	if (newest > *published &&
+	    cluster_publish_weights(&session->cluster, "m", newest))
 		*published = newest;
 }
 
 /* Watches what the upstreams run, and the revisions that entries are at. */
 static void *
-sample(void *argument)
+run_monitor(void *argument)
 {
 	struct worker *worker = argument;
 	uint64_t seen[ENTRIES + 1] = {0}, published = 1;
 	unsigned count;
 
-	for (count = 0; !atomic_load(&worker->session->stopping); count++) {
+	for (count = 0; !atomic_load(&worker->session->is_stopping); count++) {
 		publish_newest(worker->session, &published);
-		sample_allowance(worker->session);
+		check_running_requests(worker->session);
 		if (count % 8 == 0)
-			sample_revisions(worker->session, seen);
+			check_revisions(worker->session, seen);
 		kwb_clock_sleep_ns(20 * KWB_MS_NS);
 	}
 	return NULL;
@@ -443,11 +449,11 @@
 
 /* A round that took long is not one moment, and is left out. */
 static void
-sample_allowance(struct session *session)
+check_running_requests(struct session *session)
 {
 	uint64_t begun_ns = kwb_clock_now_ns();
 	json_int_t quotes = 0, search = 0, orders = 0;
-	char url[160], name[WORLD_NAME_BYTES];
+	char url[160], name[CLUSTER_NAME_MAX_BYTES];
 	json_t *root, *models;
 	struct kwb_buf text;
 	unsigned i;
@@ -457,10 +463,10 @@
 
 		snprintf(
 		    name, sizeof(name), engine ? "engine-%u" : "service-%u", i);
-		world_url(&session->world, name, url, 64);
+		cluster_print_url(&session->cluster, name, url, 64);
 		strcat(url, engine ? "/load" : "/health");
 		kwb_buf_init(&text);
-		world_http("GET", url, NULL, NULL, &text, NULL, 200);
+		cluster_http_request("GET", url, NULL, NULL, &text, NULL, 200);
 		root = json_loads(kwb_buf_text(&text), 0, NULL);
 		models = json_object_get(root, "models");
 		quotes += json_integer_value(
@@ -473,19 +479,19 @@
 		json_decref(root);
 		kwb_buf_finish(&text);
 	}
-	if (kwb_clock_now_ns() - begun_ns > SAMPLE_ROUND_NS)
+	if (kwb_clock_now_ns() - begun_ns > MONITOR_ROUND_MAX_NS)
 		return;
 	if (quotes > QUOTES_UNITS || search > SEARCH_UNITS ||
 	    orders > ORDERS_UNITS) {
 		pthread_mutex_lock(&session->lock);
-		session->over_allowance++;
+		session->rounds_over_allowance++;
 		pthread_mutex_unlock(&session->lock);
 	}
 }
 
 /* A revision of 0 is an entry that has none yet and decides nothing. */
 static void
-sample_revisions(struct session *session, uint64_t *seen)
+check_revisions(struct session *session, uint64_t *seen)
 {
 	unsigned entry;
 
@@ -495,14 +501,14 @@
 		uint64_t revision;
 		const char *at;
 
-		entry_url(session, entry, url);
+		print_entry_url(session, entry, url);
 		strcat(url, "/status");
 		kwb_buf_init(&text);
-		world_http("GET", url, NULL, NULL, &text, NULL, 200);
+		cluster_http_request("GET", url, NULL, NULL, &text, NULL, 200);
 		at = strstr(kwb_buf_text(&text), "\"lists_revision\":");
 		revision = at ? strtoull(at + 17, NULL, 10) : 0;
 		if (revision != 0 && revision < seen[entry])
-			session->reverted++;
+			session->revision_decreases++;
 		if (revision > seen[entry])
 			seen[entry] = revision;
 		kwb_buf_finish(&text);
@@ -511,19 +517,20 @@
 
 /* An operator who changes something every second or so. */
 static void *
-edit(void *argument)
+run_operator(void *argument)
 {
 	struct worker *worker = argument;
 	unsigned count;
 
-	for (count = 0; !atomic_load(&worker->session->stopping); count++) {
+	for (count = 0; !atomic_load(&worker->session->is_stopping); count++) {
 		char assignment[32];
 		const char *arguments[] = {"--wait-ms", "0", "edit",
 		    "allowance", "search", assignment, NULL};
 
 		snprintf(
 		    assignment, sizeof(assignment), "queue=%u", 100 + count);
-		world_ctl(&worker->session->world, arguments, "/dev/null");
+		cluster_run_kwbctl(
+		    &worker->session->cluster, arguments, "/dev/null");
 		kwb_clock_sleep_ns(700 * KWB_MS_NS);
 	}
 	return NULL;
@@ -531,7 +538,7 @@
 
 /* After healing, a change is in force everywhere within the bound. */
 static void
-judge_force(struct session *session)
+verify_change_in_force(struct session *session)
 {
 	char wait[16];
 	/* Not the entry that the other operator still edits: that conflicts. */
@@ -540,8 +547,8 @@
 	uint64_t begun_ns = kwb_clock_now_ns();
 	int code;
 
-	snprintf(wait, sizeof(wait), "%u", FORCE_MS);
-	code = world_ctl(&session->world, arguments, "/dev/null");
+	snprintf(wait, sizeof(wait), "%u", IN_FORCE_MAX_MS);
+	code = cluster_run_kwbctl(&session->cluster, arguments, "/dev/null");
 	if (code != 0)
 		session_fail(session,
 		    "a change not in force after %u ms: kwbctl says %d",
@@ -550,48 +557,53 @@
 }
 
 static void
-judge(struct session *session)
+verify_session(struct session *session)
 {
-	if (session->steps == 0 || session->incomplete > 0)
-		session_fail(session, "%u steps whole, %u not", session->steps,
-		    session->incomplete);
-	if (session->doubled > 0)
-		session_fail(session, "%u samples doubled", session->doubled);
-	if (session->wrong > 0)
-		session_fail(session, "%u samples not as made", session->wrong);
-	if (session->stale > 0)
+	if (session->complete_steps == 0 || session->incomplete_steps > 0)
+		session_fail(session, "%u steps whole, %u not",
+		    session->complete_steps, session->incomplete_steps);
+	if (session->duplicate_samples > 0)
+		session_fail(
+		    session, "%u samples doubled", session->duplicate_samples);
+	if (session->wrong_samples > 0)
 		session_fail(
-		    session, "%u samples over the bound", session->stale);
+		    session, "%u samples not as made", session->wrong_samples);
+	if (session->stale_samples > 0)
+		session_fail(session, "%u samples over the bound",
+		    session->stale_samples);
 	if (session->answers == 0 || session->wrong_answers > 0)
 		session_fail(session, "%u answers, %u wrong", session->answers,
 		    session->wrong_answers);
-	if (session->hung > 0)
-		session_fail(session, "%u requests hung", session->hung);
-	if (session->cut_off > 0)
-		session_fail(session, "%u requests cut off", session->cut_off);
-	if (session->over_allowance > 0)
-		session_fail(session, "over the allowance in %u rounds",
-		    session->over_allowance);
-	if (session->reverted > 0)
+	if (session->hung_requests > 0)
+		session_fail(
+		    session, "%u requests hung", session->hung_requests);
+	if (session->cut_off_requests > 0)
 		session_fail(
-		    session, "the lists reverted %u times", session->reverted);
-	judge_orders(session);
+		    session, "%u requests cut off", session->cut_off_requests);
+	if (session->rounds_over_allowance > 0)
+		session_fail(session, "over the allowance in %u rounds",
+		    session->rounds_over_allowance);
+	if (session->revision_decreases > 0)
+		session_fail(session, "the lists reverted %u times",
+		    session->revision_decreases);
+	verify_order_outcomes(session);
 }
 
 /* Each order against the services' own journals. */
 static void
-judge_orders(struct session *session)
+verify_order_outcomes(struct session *session)
 {
 	struct kwb_buf journal;
-	char url[160], name[WORLD_NAME_BYTES];
+	char url[160], name[CLUSTER_NAME_MAX_BYTES];
 	unsigned i, ran = 0, lost = 0, false_not_run = 0, doubled = 0;
 
 	kwb_buf_init(&journal);
 	for (i = 1; i <= SERVICES; i++) {
 		snprintf(name, sizeof(name), "service-%u", ENGINES + i);
-		world_url(&session->world, name, url, 64);
+		cluster_print_url(&session->cluster, name, url, 64);
 		strcat(url, "/journal");
-		world_http("GET", url, NULL, NULL, &journal, NULL, 2000);
+		cluster_http_request(
+		    "GET", url, NULL, NULL, &journal, NULL, 2000);
 	}
 	for (i = 0; i < session->orders_count; i++) {
 		const struct order_record *record = &session->orders[i];
@@ -602,10 +614,10 @@
 			times++;
 			at++;
 		}
-		ran += record->fate == ORDER_RAN;
+		ran += record->outcome == ORDER_RAN;
 		doubled += times > 1;
-		lost += record->fate == ORDER_RAN && times == 0;
-		false_not_run += record->fate == ORDER_NOT_RUN && times > 0;
+		lost += record->outcome == ORDER_RAN && times == 0;
+		false_not_run += record->outcome == ORDER_NOT_RUN && times > 0;
 	}
 	if (ran == 0)
 		session_fail(
@@ -623,18 +635,18 @@
 
 /* Requests begun at the upstream that leaves; -1 when none does. */
 static int64_t
-leaver_started(
+leaving_upstream_requests(
     struct session *session, const struct fault *fault, unsigned index)
 {
-	char name[WORLD_NAME_BYTES];
+	char name[CLUSTER_NAME_MAX_BYTES];
 
-	if (fault->leaver == NULL)
+	if (fault->leaving_pool == NULL)
 		return -1;
-	if (strcmp(fault->leaver, "llm") == 0)
+	if (strcmp(fault->leaving_pool, "llm") == 0)
 		snprintf(name, sizeof(name), "engine-%u", index % ENGINES + 1);
 	else
 		snprintf(name, sizeof(name), "service-%u",
 		    ENGINES + index % SERVICES + 1);
-	return world_get(&session->world, name,
-	    strcmp(fault->leaver, "llm") == 0 ? "started" : "ran");
+	return cluster_get_control(&session->cluster, name,
+	    strcmp(fault->leaving_pool, "llm") == 0 ? "started" : "ran");
 }
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -16,7 +16,7 @@
 #include "kwb.h"
 
 #define LOG_LINES 20000
-#define LOG_LINE_MOST_NS (50 * 1000) /* ten times a line, on a busy machine */
+#define LOG_LINE_MAX_NS (50 * 1000) /* ten times a line, on a busy machine */
 #define COUNT(table) (sizeof(table) / sizeof((table)[0]))
 
 static void
@@ -195,7 +195,7 @@
 }
 
 static void
-test_budget(void)
+test_retry_budget(void)
 {
 	struct kwb_retry_budget budget;
 	unsigned i, retries = 0;
@@ -212,7 +212,7 @@
 }
 
 static void
-test_fresh(void)
+test_sample_freshness(void)
 {
 	static const struct {
 		struct kwb_sample_age age;
@@ -256,7 +256,7 @@
 }
 
 static void
-test_swap(void)
+test_swap_order(void)
 {
 	static const struct {
 		const char *name;
@@ -340,7 +340,7 @@
 
 /* Two entries that start at the same moment never make the same key. */
 static void
-test_keys(void)
+test_key_uniqueness(void)
 {
 	static const struct kwb_origin origins[] = {
 	    {"entry-1", 1764841500000123ull}, {"entry-2", 1764841500000123ull}};
@@ -471,7 +471,7 @@
     "  - {plan: orders, concurrent: 2, queue: 4}\n";
 
 static struct kwb_lists *
-lists_of(const char *text)
+parse_lists(const char *text)
 {
 	struct kwb_lists_source source = {"lists.yaml", text};
 	struct kwb_faults faults = {0};
@@ -511,7 +511,7 @@
 	};
 	struct kwb_lists_source source = {"lists.yaml", text};
 	struct kwb_faults faults = {0};
-	struct kwb_lists *lists = lists_of(text);
+	struct kwb_lists *lists = parse_lists(text);
 	size_t i;
 
 	CU_ASSERT_EQUAL(
@@ -562,15 +562,15 @@
 
 /* Printing and reading again gives the same lists. */
 static void
-test_lists_round(void)
+test_lists_round_trip(void)
 {
-	struct kwb_lists *lists = lists_of(good_lists), *again;
+	struct kwb_lists *lists = parse_lists(good_lists), *again;
 	struct kwb_buf text, diff;
 
 	kwb_buf_init(&text);
 	kwb_buf_init(&diff);
 	CU_ASSERT_EQUAL(kwb_lists_print(lists, &text), 0);
-	again = lists_of(text.data);
+	again = parse_lists(text.data);
 	CU_ASSERT_EQUAL(kwb_lists_diff(lists, again, &diff), 0);
 	again->plans[0].max_tokens = 7;
 	CU_ASSERT_EQUAL(kwb_lists_diff(lists, again, &diff), 1);
@@ -583,9 +583,9 @@
 static void
 test_lists_merge(void)
 {
-	struct kwb_lists *base = lists_of(good_lists);
-	struct kwb_lists *theirs = lists_of(good_lists);
-	struct kwb_lists *ours = lists_of(good_lists), *merged = NULL;
+	struct kwb_lists *base = parse_lists(good_lists);
+	struct kwb_lists *theirs = parse_lists(good_lists);
+	struct kwb_lists *ours = parse_lists(good_lists), *merged = NULL;
 	struct kwb_buf conflicts;
 
 	kwb_buf_init(&conflicts);
@@ -610,7 +610,7 @@
 
 /* The revision in force only rises. */
 static void
-test_current(void)
+test_lists_in_force(void)
 {
 	static const struct {
 		uint64_t offered;
@@ -688,7 +688,7 @@
 
 /* Nobody reads the output: no line may wait for its reader. */
 static void
-test_log_unread(void)
+test_log_without_reader(void)
 {
 	char chunk[4096] = {0};
 	int ends[2], flags;
@@ -704,7 +704,7 @@
 	if (pid == 0) {
 		alarm(20); /* a write that blocks never ends */
 		_exit(log_burst(ends[1], LOG_LINES) >
-		    LOG_LINES * LOG_LINE_MOST_NS);
+		    LOG_LINES * LOG_LINE_MAX_NS);
 	}
 	CU_ASSERT_EQUAL(exit_code(pid), 0);
 	close(ends[0]);
@@ -713,7 +713,7 @@
 
 /* What a second may bring is bounded, and what is left out is counted. */
 static void
-test_log_bounded(void)
+test_log_rate_limit(void)
 {
 	char path[] = "/tmp/kwb-unit-XXXXXX";
 	int fd = mkstemp(path);
@@ -755,23 +755,23 @@
 	    {"route affinity", test_route_affinity},
 	    {"share sum", test_share_sum},
 	    {"share holders", test_share_holders},
-	    {"retry budget", test_budget},
-	    {"sample freshness", test_fresh},
+	    {"retry budget", test_retry_budget},
+	    {"sample freshness", test_sample_freshness},
 	    {"hedge", test_hedge},
-	    {"swap order", test_swap},
+	    {"swap order", test_swap_order},
 	    {"subset", test_subset},
-	    {"keys", test_keys},
+	    {"keys", test_key_uniqueness},
 	    {"ticket", test_ticket},
 	    {"frames", test_frames},
 	    {"frames of random bytes", test_frames_random},
 	    {"lists faults", test_lists_faults},
 	    {"lists schema", test_lists_schema},
-	    {"lists round trip", test_lists_round},
+	    {"lists round trip", test_lists_round_trip},
 	    {"lists merge", test_lists_merge},
-	    {"lists in force", test_current},
+	    {"lists in force", test_lists_in_force},
 	    {"settings faults", test_settings},
-	    {"log without a reader", test_log_unread},
-	    {"log in a burst", test_log_bounded},
+	    {"log without a reader", test_log_without_reader},
+	    {"log in a burst", test_log_rate_limit},
 	    CU_TEST_INFO_NULL,
 	};
 	CU_SuiteInfo suites[] = {
--- a/tests/world.c
+++ b/tests/world.c
@@ -15,82 +15,87 @@
 
 #include "world.h"
 
-#define PLATFORM_PORT 0
-#define ENTRY_PORT 4
-#define AGENT_PORT 16
-#define UPSTREAM_PORT 56
-#define RELAY_PORT 96
-#define RELAY_CONTROL_PORT 148
-#define METRICS_PORT 200
-#define RELAY_ENTRY_SLOT 40
-#define START_MS 10000 /* of a process, on a busy machine */
-#define SETTLE_MS 20000
-#define BUILD_ENV "KWB_BUILD"
-
-static struct world_proc *proc_add(struct world *world, const char *name,
-    const char *program, unsigned control);
-static void argue(struct world_proc *proc, const char *format, ...)
-    __attribute__((format(printf, 2, 3)));
-static void add_upstream(struct world *world, unsigned index, bool engine);
-static void add_agent(struct world *world, unsigned index, bool engine);
-static void add_entry(struct world *world, unsigned index);
-static void add_relay(
-    struct world *world, const char *name, unsigned slot, unsigned target);
-static const char *domain_of(
-    const struct world *world, unsigned index, char *text);
-static void file_write(
-    const struct world *world, const char *name, const char *text);
-static bool platform_answers(struct world *world);
-static bool units_settled(struct world *world, json_t *wanted);
-static bool parts_equal(
-    const struct world *world, json_t *agents, json_t *wanted);
-static bool is_running(const struct world *world, const char *name);
-static pid_t spawn(const struct world *world, const struct world_proc *proc,
-    const char *output);
+#define PLATFORM_PORT_OFFSET 0
+#define ENTRY_PORT_OFFSET 4
+#define AGENT_PORT_OFFSET 16
+#define UPSTREAM_PORT_OFFSET 56
+#define RELAY_PORT_OFFSET 96
+#define RELAY_CONTROL_PORT_OFFSET 148
+#define METRICS_PORT_OFFSET 200
+#define ENTRY_RELAY_FIRST_INDEX 40
+#define PLATFORM_START_MAX_MS 10000 /* of a process, on a busy machine */
+#define SETTLE_MAX_MS 20000
+#define BUILD_DIRECTORY_VARIABLE "KWB_BUILD"
+
+static struct cluster_process *add_process(struct cluster *cluster,
+    const char *name, const char *program, unsigned control);
+static void add_arguments(struct cluster_process *process, const char *format,
+    ...) __attribute__((format(printf, 2, 3)));
+static void add_upstream(
+    struct cluster *cluster, unsigned index, bool is_engine);
+static void add_agent(struct cluster *cluster, unsigned index, bool is_engine);
+static void add_entry(struct cluster *cluster, unsigned index);
+static void add_relay(struct cluster *cluster, const char *name,
+    unsigned relay_index, unsigned target);
+static const char *print_failure_domain(
+    const struct cluster *cluster, unsigned index, char *text);
+static void write_file(
+    const struct cluster *cluster, const char *name, const char *text);
+static bool wait_for_platform(struct cluster *cluster);
+static bool are_units_settled(struct cluster *cluster, json_t *wanted);
+static bool are_allowances_balanced(
+    const struct cluster *cluster, json_t *agents, json_t *wanted);
+static bool is_running(const struct cluster *cluster, const char *name);
+static pid_t spawn_process(const struct cluster *cluster,
+    const struct cluster_process *process, const char *output);
 
 int
-world_start(
-    struct world *world, const struct world_shape *shape, uint16_t base_port)
+cluster_start(struct cluster *cluster, const struct cluster_spec *spec,
+    uint16_t base_port)
 {
 	unsigned i;
 
-	memset(world, 0, sizeof(*world));
-	world->shape = *shape;
-	world->base_port = base_port;
-	snprintf(world->directory, sizeof(world->directory), "/tmp/kwb-%d-%u",
-	    (int)getpid(), base_port);
-	mkdir(world->directory, 0700);
-	argue(proc_add(world, "platform", "fake-platform", PLATFORM_PORT),
-	    "--listen\n127.0.0.1:%u", base_port + PLATFORM_PORT);
-	for (i = 0; i < shape->engines + shape->services; i++) {
-		add_upstream(world, i, i < shape->engines);
-		add_agent(world, i, i < shape->engines);
+	memset(cluster, 0, sizeof(*cluster));
+	cluster->spec = *spec;
+	cluster->base_port = base_port;
+	snprintf(cluster->directory, sizeof(cluster->directory),
+	    "/tmp/kwb-%d-%u", (int)getpid(), base_port);
+	mkdir(cluster->directory, 0700);
+	add_arguments(add_process(cluster, "platform", "fake-platform",
+			  PLATFORM_PORT_OFFSET),
+	    "--listen\n127.0.0.1:%u", base_port + PLATFORM_PORT_OFFSET);
+	for (i = 0; i < spec->engines + spec->services; i++) {
+		add_upstream(cluster, i, i < spec->engines);
+		add_agent(cluster, i, i < spec->engines);
 	}
-	for (i = 0; i < shape->entries; i++)
-		add_entry(world, i);
-	world_run(world, "platform");
-	if (!platform_answers(world))
+	for (i = 0; i < spec->entries; i++)
+		add_entry(cluster, i);
+	cluster_start_process(cluster, "platform");
+	if (!wait_for_platform(cluster))
 		return -1;
-	world_list_vms(world);
-	world_publish(world, "m", 1);
-	for (i = 0; i < world->procs_count; i++)
-		if (world->procs[i].pid == 0)
-			world_run(world, world->procs[i].name);
-	if (world_apply(world, shape->lists) != 0)
+	cluster_publish_vms(cluster);
+	cluster_publish_weights(cluster, "m", 1);
+	for (i = 0; i < cluster->processes_count; i++)
+		if (cluster->processes[i].pid == 0)
+			cluster_start_process(
+			    cluster, cluster->processes[i].name);
+	if (cluster_apply_lists(cluster, spec->lists) != 0)
 		return -1;
-	return world_settled(world, SETTLE_MS) ? 0 : -1;
+	return cluster_wait_settled(cluster, SETTLE_MAX_MS) ? 0 : -1;
 }
 
 /* What is told to a platform that does not listen yet is lost. */
 static bool
-platform_answers(struct world *world)
+wait_for_platform(struct cluster *cluster)
 {
-	uint64_t deadline_ns = kwb_clock_now_ns() + START_MS * KWB_MS_NS;
+	uint64_t deadline_ns =
+	    kwb_clock_now_ns() + PLATFORM_START_MAX_MS * KWB_MS_NS;
 	char url[128];
 
-	world_url(world, "platform", url, sizeof(url));
+	cluster_print_url(cluster, "platform", url, sizeof(url));
 	strcat(url, "/vms");
-	while (world_http("GET", url, NULL, NULL, NULL, NULL, 500) != 200) {
+	while (cluster_http_request("GET", url, NULL, NULL, NULL, NULL, 500) !=
+	    200) {
 		if (kwb_clock_now_ns() >= deadline_ns)
 			return false;
 		kwb_clock_sleep_ns(20 * KWB_MS_NS);
@@ -99,105 +104,110 @@
 }
 
 void
-world_stop(struct world *world)
+cluster_stop(struct cluster *cluster)
 {
 	unsigned i;
 
-	for (i = 0; i < world->procs_count; i++)
-		world_kill(world, world->procs[i].name);
+	for (i = 0; i < cluster->processes_count; i++)
+		cluster_kill_process(cluster, cluster->processes[i].name);
 }
 
-struct world_proc *
-world_proc(struct world *world, const char *name)
+struct cluster_process *
+cluster_find_process(struct cluster *cluster, const char *name)
 {
 	unsigned i;
 
-	for (i = 0; i < world->procs_count; i++)
-		if (strcmp(world->procs[i].name, name) == 0)
-			return &world->procs[i];
+	for (i = 0; i < cluster->processes_count; i++)
+		if (strcmp(cluster->processes[i].name, name) == 0)
+			return &cluster->processes[i];
 	fprintf(stderr, "no process %s\n", name);
 	abort();
 }
 
 void
-world_run(struct world *world, const char *name)
+cluster_start_process(struct cluster *cluster, const char *name)
 {
-	struct world_proc *proc = world_proc(world, name);
+	struct cluster_process *process = cluster_find_process(cluster, name);
 	char log[256];
 
-	if (proc->pid != 0)
+	if (process->pid != 0)
 		return;
-	snprintf(log, sizeof(log), "%s/%s.log", world->directory, name);
-	proc->pid = spawn(world, proc, log);
+	snprintf(log, sizeof(log), "%s/%s.log", cluster->directory, name);
+	process->pid = spawn_process(cluster, process, log);
 }
 
 void
-world_kill(struct world *world, const char *name)
+cluster_kill_process(struct cluster *cluster, const char *name)
 {
-	struct world_proc *proc = world_proc(world, name);
+	struct cluster_process *process = cluster_find_process(cluster, name);
 
-	if (proc->pid == 0)
+	if (process->pid == 0)
 		return;
-	kill(proc->pid, SIGKILL);
-	waitpid(proc->pid, NULL, 0);
-	proc->pid = 0;
+	kill(process->pid, SIGKILL);
+	waitpid(process->pid, NULL, 0);
+	process->pid = 0;
 }
 
 void
-world_signal(struct world *world, const char *name, int number)
+cluster_signal_process(struct cluster *cluster, const char *name, int number)
 {
-	const struct world_proc *proc = world_proc(world, name);
+	const struct cluster_process *process =
+	    cluster_find_process(cluster, name);
 
-	if (proc->pid != 0)
-		kill(proc->pid, number);
+	if (process->pid != 0)
+		kill(process->pid, number);
 }
 
 int
-world_wait(struct world *world, const char *name, uint32_t timeout_ms)
+cluster_wait_process(
+    struct cluster *cluster, const char *name, uint32_t timeout_ms)
 {
-	struct world_proc *proc = world_proc(world, name);
+	struct cluster_process *process = cluster_find_process(cluster, name);
 	uint64_t deadline_ns = kwb_clock_now_ns() + timeout_ms * KWB_MS_NS;
 	int status;
 
-	if (proc->pid == 0)
+	if (process->pid == 0)
 		return 0;
-	while (waitpid(proc->pid, &status, WNOHANG) == 0) {
+	while (waitpid(process->pid, &status, WNOHANG) == 0) {
 		if (kwb_clock_now_ns() >= deadline_ns)
 			return -1;
 		kwb_clock_sleep_ns(10 * KWB_MS_NS);
 	}
-	proc->pid = 0;
+	process->pid = 0;
 	return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
 }
 
 int64_t
-world_set(
-    struct world *world, const char *name, const char *control, int64_t value)
+cluster_set_control(struct cluster *cluster, const char *name,
+    const char *control, int64_t value)
 {
 	char url[128];
 	struct kwb_buf answer;
 	int64_t old;
 
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/control?%s=%lld",
-	    world_proc(world, name)->control_port, control, (long long)value);
+	    cluster_find_process(cluster, name)->control_port, control,
+	    (long long)value);
 	kwb_buf_init(&answer);
-	world_http("POST", url, NULL, "", &answer, NULL, 2000);
+	cluster_http_request("POST", url, NULL, "", &answer, NULL, 2000);
 	old = strtoll(kwb_buf_text(&answer), NULL, 10);
 	kwb_buf_finish(&answer);
 	return old;
 }
 
 int64_t
-world_get(struct world *world, const char *name, const char *control)
+cluster_get_control(
+    struct cluster *cluster, const char *name, const char *control)
 {
 	char url[128];
 	struct kwb_buf answer;
 	int64_t value = -1;
 
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/control?%s",
-	    world_proc(world, name)->control_port, control);
+	    cluster_find_process(cluster, name)->control_port, control);
 	kwb_buf_init(&answer);
-	if (world_http("GET", url, NULL, NULL, &answer, NULL, 1000) == 200)
+	if (cluster_http_request("GET", url, NULL, NULL, &answer, NULL, 1000) ==
+	    200)
 		value = strtoll(kwb_buf_text(&answer), NULL, 10);
 	kwb_buf_finish(&answer);
 	return value;
@@ -205,7 +215,7 @@
 
 /* Publishes the VM list; a process with an empty state is not in it. */
 void
-world_list_vms(struct world *world)
+cluster_publish_vms(struct cluster *cluster)
 {
 	struct kwb_buf text;
 	char url[128], domain[16];
@@ -214,19 +224,20 @@
 
 	kwb_buf_init(&text);
 	kwb_buf_printf(&text, "[");
-	for (i = 0; i < world->procs_count; i++) {
-		const struct world_proc *proc = &world->procs[i];
-		bool entry = strncmp(proc->name, "entry-", 6) == 0;
-		bool llm = strncmp(proc->name, "llm-", 4) == 0;
-
-		if ((!entry && !llm && strncmp(proc->name, "shop-", 5) != 0) ||
-		    proc->state[0] == '\0')
+	for (i = 0; i < cluster->processes_count; i++) {
+		const struct cluster_process *process = &cluster->processes[i];
+		bool entry = strncmp(process->name, "entry-", 6) == 0;
+		bool llm = strncmp(process->name, "llm-", 4) == 0;
+
+		if ((!entry && !llm &&
+			strncmp(process->name, "shop-", 5) != 0) ||
+		    process->state[0] == '\0')
 			continue;
-		number = (unsigned)atoi(strchr(proc->name, '-') + 1) - 1;
-		port = world->base_port +
-		    (entry			  ? ENTRY_PORT
-			    : world->shape.relays ? RELAY_PORT
-						  : AGENT_PORT) +
+		number = (unsigned)atoi(strchr(process->name, '-') + 1) - 1;
+		port = cluster->base_port +
+		    (entry			       ? ENTRY_PORT_OFFSET
+			    : cluster->spec.has_relays ? RELAY_PORT_OFFSET
+						       : AGENT_PORT_OFFSET) +
 		    number;
 		role = entry ? "entry" : "agent";
 		pool = entry ? "" : llm ? "llm" : "shop";
@@ -234,61 +245,65 @@
 		    "%s{\"vm\":\"%s\",\"role\":\"%s\",\"pool\":\"%s\","
 		    "\"address\":\"127.0.0.1:%u\",\"failure_domain\":\"%s\","
 		    "\"state\":\"%s\"}",
-		    listed++ ? "," : "", proc->name, role, pool, port,
-		    domain_of(world, number, domain), proc->state);
+		    listed++ ? "," : "", process->name, role, pool, port,
+		    print_failure_domain(cluster, number, domain),
+		    process->state);
 	}
 	kwb_buf_printf(&text, "]");
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/vms",
-	    world->base_port + PLATFORM_PORT);
-	world_http("PUT", url, NULL, text.data, NULL, NULL, 2000);
+	    cluster->base_port + PLATFORM_PORT_OFFSET);
+	cluster_http_request("PUT", url, NULL, text.data, NULL, NULL, 2000);
 	kwb_buf_finish(&text);
 }
 
 bool
-world_publish(struct world *world, const char *model, uint64_t version)
+cluster_publish_weights(
+    struct cluster *cluster, const char *model, uint64_t version)
 {
 	char url[128], text[32];
 
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/weights/%s",
-	    world->base_port + PLATFORM_PORT, model);
+	    cluster->base_port + PLATFORM_PORT_OFFSET, model);
 	snprintf(text, sizeof(text), "%llu", (unsigned long long)version);
-	return world_http("PUT", url, NULL, text, NULL, NULL, 2000) == 200;
+	return cluster_http_request("PUT", url, NULL, text, NULL, NULL, 2000) ==
+	    200;
 }
 
 int
-world_apply(struct world *world, const char *lists)
+cluster_apply_lists(struct cluster *cluster, const char *lists)
 {
 	char path[256], output[256];
 	const char *arguments[] = {"apply", path, NULL};
 
-	snprintf(path, sizeof(path), "%s/lists.yaml", world->directory);
-	snprintf(output, sizeof(output), "%s/apply.log", world->directory);
-	file_write(world, "lists.yaml", lists);
-	return world_ctl(world, arguments, output);
+	snprintf(path, sizeof(path), "%s/lists.yaml", cluster->directory);
+	snprintf(output, sizeof(output), "%s/apply.log", cluster->directory);
+	write_file(cluster, "lists.yaml", lists);
+	return cluster_run_kwbctl(cluster, arguments, output);
 }
 
 int
-world_ctl(struct world *world, const char *const *arguments, const char *output)
+cluster_run_kwbctl(
+    struct cluster *cluster, const char *const *arguments, const char *output)
 {
-	struct world_proc proc = {.name = "kwbctl"};
+	struct cluster_process process = {.name = "kwbctl"};
 	int status = -1;
 	pid_t pid;
 
-	argue(&proc, "kwbctl\n--platform\nhttp://127.0.0.1:%u",
-	    world->base_port + PLATFORM_PORT);
+	add_arguments(&process, "kwbctl\n--platform\nhttp://127.0.0.1:%u",
+	    cluster->base_port + PLATFORM_PORT_OFFSET);
 	for (; *arguments != NULL; arguments++)
-		argue(&proc, "%s", *arguments);
-	pid = spawn(world, &proc, output);
+		add_arguments(&process, "%s", *arguments);
+	pid = spawn_process(cluster, &process, output);
 	waitpid(pid, &status, 0);
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
 /* Waits until the agents hold the whole allowance of each plan. */
 bool
-world_settled(struct world *world, uint32_t timeout_ms)
+cluster_wait_settled(struct cluster *cluster, uint32_t timeout_ms)
 {
 	uint64_t deadline_ns = kwb_clock_now_ns() + timeout_ms * KWB_MS_NS;
-	struct kwb_lists_source source = {"lists", world->shape.lists};
+	struct kwb_lists_source source = {"lists", cluster->spec.lists};
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists;
 	json_t *wanted = json_object();
@@ -304,7 +319,7 @@
 		    json_integer(lists->allowances[i].concurrent));
 	kwb_lists_free(lists);
 	while (!settled && kwb_clock_now_ns() < deadline_ns) {
-		settled = units_settled(world, wanted);
+		settled = are_units_settled(cluster, wanted);
 		if (!settled)
 			kwb_clock_sleep_ns(100 * KWB_MS_NS);
 	}
@@ -313,21 +328,22 @@
 }
 
 void
-world_url(struct world *world, const char *name, char *url, size_t room_bytes)
+cluster_print_url(
+    struct cluster *cluster, const char *name, char *url, size_t capacity_bytes)
 {
-	snprintf(url, room_bytes, "http://127.0.0.1:%u",
-	    world_proc(world, name)->control_port);
+	snprintf(url, capacity_bytes, "http://127.0.0.1:%u",
+	    cluster_find_process(cluster, name)->control_port);
 }
 
 void
-world_metrics_url(
-    struct world *world, const char *name, char *url, size_t room_bytes)
+cluster_print_metrics_url(
+    struct cluster *cluster, const char *name, char *url, size_t capacity_bytes)
 {
-	unsigned port = world_proc(world, name)->control_port;
+	unsigned port = cluster_find_process(cluster, name)->control_port;
 
 	if (strncmp(name, "entry-", 6) != 0)
-		port += METRICS_PORT - AGENT_PORT;
-	snprintf(url, room_bytes, "http://127.0.0.1:%u/metrics", port);
+		port += METRICS_PORT_OFFSET - AGENT_PORT_OFFSET;
+	snprintf(url, capacity_bytes, "http://127.0.0.1:%u/metrics", port);
 }
 
 /* A client of its own, so that it shares no state with the one under test. */
@@ -337,7 +353,7 @@
 };
 
 static size_t
-sink_body(char *data, size_t size, size_t count, void *context)
+sink_on_body(char *data, size_t size, size_t count, void *context)
 {
 	struct answer_sink *sink = context;
 
@@ -347,7 +363,7 @@
 }
 
 static size_t
-sink_header(char *data, size_t size, size_t count, void *context)
+sink_on_header(char *data, size_t size, size_t count, void *context)
 {
 	struct answer_sink *sink = context;
 
@@ -358,7 +374,7 @@
 }
 
 int
-world_http(const char *method, const char *url, const char *header,
+cluster_http_request(const char *method, const char *url, const char *header,
     const char *body, struct kwb_buf *answer, char *outcome,
     uint32_t timeout_ms)
 {
@@ -376,9 +392,9 @@
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
 	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, sink_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, sink_on_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, &sink);
-	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, sink_header);
+	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, sink_on_header);
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, &sink);
 	if (body != NULL)
 		curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
@@ -390,22 +406,23 @@
 	return (int)status;
 }
 
-static struct world_proc *
-proc_add(struct world *world, const char *name, const char *program,
+static struct cluster_process *
+add_process(struct cluster *cluster, const char *name, const char *program,
     unsigned control)
 {
-	struct world_proc *proc = &world->procs[world->procs_count++];
+	struct cluster_process *process =
+	    &cluster->processes[cluster->processes_count++];
 
-	kwb_text_copy(proc->name, sizeof(proc->name), name);
-	proc->control_port = (uint16_t)(world->base_port + control);
-	strcpy(proc->state, "live");
-	argue(proc, "%s", program);
-	return proc;
+	kwb_text_copy(process->name, sizeof(process->name), name);
+	process->control_port = (uint16_t)(cluster->base_port + control);
+	strcpy(process->state, "live");
+	add_arguments(process, "%s", program);
+	return process;
 }
 
 /* Adds arguments, one a line of the text. */
 static void
-argue(struct world_proc *proc, const char *format, ...)
+add_arguments(struct cluster_process *process, const char *format, ...)
 {
 	char text[1024], *rest = text, *one;
 	va_list args;
@@ -414,43 +431,45 @@
 	vsnprintf(text, sizeof(text), format, args);
 	va_end(args);
 	while ((one = strsep(&rest, "\n")) != NULL)
-		kwb_text_copy(proc->arguments[proc->arguments_count++],
-		    sizeof(proc->arguments[0]), one);
+		kwb_text_copy(process->arguments[process->arguments_count++],
+		    sizeof(process->arguments[0]), one);
 }
 
 static void
-add_upstream(struct world *world, unsigned index, bool engine)
-{
-	unsigned port = UPSTREAM_PORT + index;
-	char name[WORLD_NAME_BYTES], extra[512], *rest = extra, *one;
-	struct world_proc *proc;
-
-	snprintf(
-	    name, sizeof(name), engine ? "engine-%u" : "service-%u", index + 1);
-	proc = proc_add(
-	    world, name, engine ? "fake-engine" : "fake-service", port);
-	argue(proc, "--listen\n127.0.0.1:%u", world->base_port + port);
-	if (!engine)
+add_upstream(struct cluster *cluster, unsigned index, bool is_engine)
+{
+	unsigned port = UPSTREAM_PORT_OFFSET + index;
+	char name[CLUSTER_NAME_MAX_BYTES], extra[512], *rest = extra, *one;
+	struct cluster_process *process;
+
+	snprintf(name, sizeof(name), is_engine ? "engine-%u" : "service-%u",
+	    index + 1);
+	process = add_process(
+	    cluster, name, is_engine ? "fake-engine" : "fake-service", port);
+	add_arguments(
+	    process, "--listen\n127.0.0.1:%u", cluster->base_port + port);
+	if (!is_engine)
 		return;
-	argue(proc,
+	add_arguments(process,
 	    "--models\n%s\n--platform\nhttp://127.0.0.1:%u\n--slots\n"
 	    "%u",
-	    world->shape.models, world->base_port + PLATFORM_PORT,
-	    world->shape.slots);
+	    cluster->spec.models, cluster->base_port + PLATFORM_PORT_OFFSET,
+	    cluster->spec.slots);
 	kwb_text_copy(extra, sizeof(extra),
-	    world->shape.engine_args ? world->shape.engine_args : "");
+	    cluster->spec.engine_args ? cluster->spec.engine_args : "");
 	while ((one = strsep(&rest, " ")) != NULL)
 		if (*one != '\0')
-			argue(proc, "%s", one);
+			add_arguments(process, "%s", one);
 }
 
 static void
-add_agent(struct world *world, unsigned index, bool engine)
+add_agent(struct cluster *cluster, unsigned index, bool is_engine)
 {
-	char name[WORLD_NAME_BYTES], file[64], text[1024], domain[16];
-	unsigned base = world->base_port;
+	char name[CLUSTER_NAME_MAX_BYTES], file[64], text[1024], domain[16];
+	unsigned base = cluster->base_port;
 
-	snprintf(name, sizeof(name), engine ? "llm-%u" : "shop-%u", index + 1);
+	snprintf(
+	    name, sizeof(name), is_engine ? "llm-%u" : "shop-%u", index + 1);
 	snprintf(file, sizeof(file), "%s.yaml", name);
 	snprintf(text, sizeof(text),
 	    "vm: %s\nfailure_domain: %s\nlisten: 127.0.0.1:%u\n"
@@ -458,85 +477,94 @@
 	    "upstream: http://127.0.0.1:%u\nupstream_kind: %s\nslots: %u\n"
 	    "interactive_reserve: %u\ndrain_ms: 20000\n"
 	    "metrics: 127.0.0.1:%u\n",
-	    name, domain_of(world, index, domain), base + AGENT_PORT + index,
-	    base + PLATFORM_PORT, engine ? "llm" : "shop",
-	    base + UPSTREAM_PORT + index, engine ? "engine" : "service",
-	    world->shape.slots, engine ? world->shape.reserve : 0,
-	    base + METRICS_PORT + index);
-	file_write(world, file, text);
-	argue(proc_add(world, name, "kwb-agent", AGENT_PORT + index),
-	    "--settings\n%s/%s", world->directory, file);
-	if (world->shape.relays) {
+	    name, print_failure_domain(cluster, index, domain),
+	    base + AGENT_PORT_OFFSET + index, base + PLATFORM_PORT_OFFSET,
+	    is_engine ? "llm" : "shop", base + UPSTREAM_PORT_OFFSET + index,
+	    is_engine ? "engine" : "service", cluster->spec.slots,
+	    is_engine ? cluster->spec.interactive_reserve : 0,
+	    base + METRICS_PORT_OFFSET + index);
+	write_file(cluster, file, text);
+	add_arguments(
+	    add_process(cluster, name, "kwb-agent", AGENT_PORT_OFFSET + index),
+	    "--settings\n%s/%s", cluster->directory, file);
+	if (cluster->spec.has_relays) {
 		snprintf(file, sizeof(file), "relay-%s", name);
-		add_relay(world, file, index, AGENT_PORT + index);
+		add_relay(cluster, file, index, AGENT_PORT_OFFSET + index);
 	}
 }
 
 static void
-add_entry(struct world *world, unsigned index)
+add_entry(struct cluster *cluster, unsigned index)
 {
-	char name[WORLD_NAME_BYTES], file[64], text[2048], domain[16];
-	unsigned slot = RELAY_ENTRY_SLOT + index, i;
+	char name[CLUSTER_NAME_MAX_BYTES], file[64], text[2048], domain[16];
+	unsigned relay_index = ENTRY_RELAY_FIRST_INDEX + index, i;
 	struct kwb_buf seeds;
 
 	snprintf(name, sizeof(name), "entry-%u", index + 1);
 	snprintf(file, sizeof(file), "%s.yaml", name);
 	kwb_buf_init(&seeds);
-	for (i = 0; i < world->shape.engines + world->shape.services; i++)
+	for (i = 0; i < cluster->spec.engines + cluster->spec.services; i++)
 		kwb_buf_printf(&seeds,
 		    "%s  - {vm: %s-%u, address: '127.0.0.1:%u', "
 		    "failure_domain: %s, pool: %s}\n",
 		    i ? "" : "seeds:\n",
-		    i < world->shape.engines ? "llm" : "shop", i + 1,
-		    world->base_port +
-			(world->shape.relays ? RELAY_PORT : AGENT_PORT) + i,
-		    domain_of(world, i, domain),
-		    i < world->shape.engines ? "llm" : "shop");
+		    i < cluster->spec.engines ? "llm" : "shop", i + 1,
+		    cluster->base_port +
+			(cluster->spec.has_relays ? RELAY_PORT_OFFSET
+						  : AGENT_PORT_OFFSET) +
+			i,
+		    print_failure_domain(cluster, i, domain),
+		    i < cluster->spec.engines ? "llm" : "shop");
 	snprintf(text, sizeof(text),
 	    "vm: %s\nfailure_domain: %s\nlisten: 127.0.0.1:%u\n"
 	    "platform: http://127.0.0.1:%u\nworkers: 128\ndrain_ms: 20000\n"
 	    "%s%s\n%s",
-	    name, domain_of(world, index, domain),
-	    world->base_port + ENTRY_PORT + index,
-	    world->base_port +
-		(world->shape.relays ? RELAY_PORT + slot : PLATFORM_PORT),
-	    world->shape.policy ? "policy: " : "",
-	    world->shape.policy ? world->shape.policy : "",
+	    name, print_failure_domain(cluster, index, domain),
+	    cluster->base_port + ENTRY_PORT_OFFSET + index,
+	    cluster->base_port +
+		(cluster->spec.has_relays ? RELAY_PORT_OFFSET + relay_index
+					  : PLATFORM_PORT_OFFSET),
+	    cluster->spec.policy ? "policy: " : "",
+	    cluster->spec.policy ? cluster->spec.policy : "",
 	    kwb_buf_text(&seeds));
 	kwb_buf_finish(&seeds);
-	file_write(world, file, text);
-	argue(proc_add(world, name, "kwb-entry", ENTRY_PORT + index),
-	    "--settings\n%s/%s", world->directory, file);
-	if (world->shape.relays) {
+	write_file(cluster, file, text);
+	add_arguments(
+	    add_process(cluster, name, "kwb-entry", ENTRY_PORT_OFFSET + index),
+	    "--settings\n%s/%s", cluster->directory, file);
+	if (cluster->spec.has_relays) {
 		snprintf(file, sizeof(file), "relay-%s", name);
-		add_relay(world, file, slot, PLATFORM_PORT);
+		add_relay(cluster, file, relay_index, PLATFORM_PORT_OFFSET);
 	}
 }
 
 static void
-add_relay(struct world *world, const char *name, unsigned slot, unsigned target)
+add_relay(struct cluster *cluster, const char *name, unsigned relay_index,
+    unsigned target)
 {
-	argue(proc_add(world, name, "fake-relay", RELAY_CONTROL_PORT + slot),
+	add_arguments(add_process(cluster, name, "fake-relay",
+			  RELAY_CONTROL_PORT_OFFSET + relay_index),
 	    "--relay\n127.0.0.1:%u\n--target\n127.0.0.1:%u\n"
 	    "--listen\n127.0.0.1:%u",
-	    world->base_port + RELAY_PORT + slot, world->base_port + target,
-	    world->base_port + RELAY_CONTROL_PORT + slot);
+	    cluster->base_port + RELAY_PORT_OFFSET + relay_index,
+	    cluster->base_port + target,
+	    cluster->base_port + RELAY_CONTROL_PORT_OFFSET + relay_index);
 }
 
 static const char *
-domain_of(const struct world *world, unsigned index, char *text)
+print_failure_domain(const struct cluster *cluster, unsigned index, char *text)
 {
-	snprintf(text, 16, "fd-%u", index % world->shape.domains + 1);
+	snprintf(text, 16, "fd-%u", index % cluster->spec.failure_domains + 1);
 	return text;
 }
 
 static void
-file_write(const struct world *world, const char *name, const char *text)
+write_file(const struct cluster *cluster, const char *name, const char *text)
 {
 	char path[256];
 	FILE *file;
 
-	snprintf(path, sizeof(path), "%s/%s", world->directory, name);
+	snprintf(path, sizeof(path), "%s/%s", cluster->directory, name);
 	file = fopen(path, "w");
 	fputs(text, file);
 	fclose(file);
@@ -544,26 +572,26 @@
 
 /* Whether each entry sees every plan's allowance held, in equal parts. */
 static bool
-units_settled(struct world *world, json_t *wanted)
+are_units_settled(struct cluster *cluster, json_t *wanted)
 {
-	char url[128], name[WORLD_NAME_BYTES];
+	char url[128], name[CLUSTER_NAME_MAX_BYTES];
 	struct kwb_buf text;
 	json_t *status;
 	unsigned entry;
 	bool settled = true;
 
-	for (entry = 1; entry <= world->shape.entries; entry++) {
+	for (entry = 1; entry <= cluster->spec.entries; entry++) {
 		snprintf(name, sizeof(name), "entry-%u", entry);
-		if (world_proc(world, name)->pid == 0)
+		if (cluster_find_process(cluster, name)->pid == 0)
 			continue;
-		world_url(world, name, url, sizeof(url));
+		cluster_print_url(cluster, name, url, sizeof(url));
 		strcat(url, "/status");
 		kwb_buf_init(&text);
-		world_http("GET", url, NULL, NULL, &text, NULL, 1000);
+		cluster_http_request("GET", url, NULL, NULL, &text, NULL, 1000);
 		status = json_loads(kwb_buf_text(&text), 0, NULL);
 		kwb_buf_finish(&text);
-		if (!parts_equal(
-			world, json_object_get(status, "agents"), wanted))
+		if (!are_allowances_balanced(
+			cluster, json_object_get(status, "agents"), wanted))
 			settled = false;
 		json_decref(status);
 	}
@@ -572,7 +600,8 @@
 
 /* What an entry last heard of an agent that was killed is held by nobody. */
 static bool
-parts_equal(const struct world *world, json_t *agents, json_t *wanted)
+are_allowances_balanced(
+    const struct cluster *cluster, json_t *agents, json_t *wanted)
 {
 	json_t *agent, *allowance;
 	const char *plan, *vm;
@@ -583,7 +612,7 @@
 
 		json_array_foreach (agents, i, agent) {
 			vm = json_string_value(json_object_get(agent, "vm"));
-			if (vm == NULL || !is_running(world, vm))
+			if (vm == NULL || !is_running(cluster, vm))
 				continue;
 			units = json_integer_value(json_object_get(
 			    json_object_get(agent, "units"), plan));
@@ -600,21 +629,21 @@
 }
 
 static bool
-is_running(const struct world *world, const char *name)
+is_running(const struct cluster *cluster, const char *name)
 {
 	unsigned i;
 
-	for (i = 0; i < world->procs_count; i++)
-		if (strcmp(world->procs[i].name, name) == 0)
-			return world->procs[i].pid != 0;
+	for (i = 0; i < cluster->processes_count; i++)
+		if (strcmp(cluster->processes[i].name, name) == 0)
+			return cluster->processes[i].pid != 0;
 	return false;
 }
 
 static pid_t
-spawn(const struct world *world, const struct world_proc *proc,
-    const char *output)
+spawn_process(const struct cluster *cluster,
+    const struct cluster_process *process, const char *output)
 {
-	const char *build = getenv(BUILD_ENV);
+	const char *build = getenv(BUILD_DIRECTORY_VARIABLE);
 	char path[256];
 	char *argv[32];
 	unsigned i;
@@ -622,11 +651,11 @@
 	pid_t pid;
 	int fd;
 
-	(void)world;
+	(void)cluster;
 	snprintf(path, sizeof(path), "%s/%s", build ? build : "build",
-	    proc->arguments[0]);
-	for (i = 0; i < proc->arguments_count; i++)
-		argv[i] = (char *)proc->arguments[i];
+	    process->arguments[0]);
+	for (i = 0; i < process->arguments_count; i++)
+		argv[i] = (char *)process->arguments[i];
 	argv[i] = NULL;
 	pid = fork();
 	if (pid != 0)
