--- a/bench/measure.c
+++ b/bench/measure.c
@@ -9,13 +9,13 @@
 #include "measure.h"
 
 static double metric_read(
-    struct cluster *cluster, const char *name, const char *metric);
+    struct cluster *world, const char *name, const char *metric);
 static int by_value(const void *a, const void *b);
 
 void
-account_take(struct cluster *cluster, const char *name, struct account *account)
+account_take(struct cluster *world, const char *name, struct account *account)
 {
-	struct cluster_process *process = cluster_find_process(cluster, name);
+	struct cluster_process *process = cluster_find_process(world, name);
 	char path[64], text[1024];
 	struct timespec cpu = {0};
 	clockid_t clock;
@@ -33,7 +33,7 @@
 	if (file != NULL)
 		fclose(file);
 	account->control_bytes =
-	    metric_read(cluster, name, "\nkwb_control_bytes_total ");
+	    metric_read(world, name, "\nkwb_control_bytes_total ");
 }
 
 void
@@ -77,14 +77,14 @@
 
 /* An entry serves its counters itself, an agent at its metrics address. */
 static double
-metric_read(struct cluster *cluster, const char *name, const char *metric)
+metric_read(struct cluster *world, const char *name, const char *metric)
 {
 	char url[128];
 	struct kwb_buf text;
 	const char *at;
 	double value = 0;
 
-	cluster_print_metrics_url(cluster, name, url, sizeof(url));
+	cluster_print_metrics_url(world, name, url, sizeof(url));
 	kwb_buf_init(&text);
 	if (cluster_http_request("GET", url, NULL, NULL, &text, NULL, 2000) ==
 		200 &&
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -22,7 +22,7 @@
 };
 
 void account_take(
-    struct cluster *cluster, const char *name, struct account *account);
+    struct cluster *world, const char *name, struct account *account);
 void line_add(struct line *line, double x, double y);
 void line_print(const struct line *line, const char *what, const char *per,
     const char *unit); /* the points, the slope and where it begins */
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -61,7 +61,7 @@
 };
 
 struct trainer_thread {
-	struct cluster *cluster;
+	struct cluster *world;
 	const char *plan;
 	const char *model;
 	unsigned units;
@@ -72,7 +72,7 @@
 };
 
 struct caller_thread {
-	struct cluster *cluster;
+	struct cluster *world;
 	_Atomic bool *stopping;
 	uint64_t gap_ns;
 	unsigned number;
@@ -84,7 +84,7 @@
 };
 
 static const char *domain_lists(const struct deployment *deployment);
-static void world_make(struct cluster *cluster,
+static void world_make(struct cluster *world,
     const struct deployment *deployment, const char *policy);
 static void scenario_step(const struct deployment *deployment, bool kill);
 static void scenario_mixed(const struct deployment *deployment);
@@ -97,10 +97,10 @@
     const struct trainer_thread *trainer, uint64_t step);
 static void *kill_one(void *argument);
 static void *call(void *argument);
-static void callers_run(struct cluster *cluster, struct caller_thread *callers,
+static void callers_run(struct cluster *world, struct caller_thread *callers,
     unsigned count, uint64_t gap_ns, _Atomic bool *stopping);
 static void callers_print(struct caller_thread *callers, unsigned count);
-static double cache_share(struct cluster *cluster);
+static double cache_share(struct cluster *world);
 
 int
 main(int argc, char **argv)
@@ -133,11 +133,11 @@
 static void
 scenario_step(const struct deployment *deployment, bool kill)
 {
-	static struct cluster cluster;
+	static struct cluster world;
 	size_t i;
 
 	for (i = 0; i < 3; i++) {
-		struct trainer_thread trainer = {.cluster = &cluster,
+		struct trainer_thread trainer = {.world = &world,
 		    .plan = "quotes",
 		    .model = "m",
 		    .units = deployment->units,
@@ -147,7 +147,7 @@
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		world_make(&cluster, deployment, policies[i]);
+		world_make(&world, deployment, policies[i]);
 		train(&trainer);
 		printf("%-5s %-9s %-12s step_ms=%.0f bound_ms=%.0f "
 		       "ratio=%.2f idle=%.0f%% age_mean=%.2f age_max=%.0f "
@@ -158,8 +158,8 @@
 		    100 * outcome->idle_ns / outcome->total_ns,
 		    outcome->age_sum / outcome->samples, outcome->age_most,
 		    100 * outcome->wasted / outcome->tokens,
-		    100 * cache_share(&cluster), outcome->wrong);
-		cluster_stop(&cluster);
+		    100 * cache_share(&world), outcome->wrong);
+		cluster_stop(&world);
 	}
 }
 
@@ -168,18 +168,18 @@
 scenario_mixed(const struct deployment *deployment)
 {
 	static struct caller_thread alone[4], beside[4];
-	static struct cluster cluster;
+	static struct cluster world;
 	size_t i;
 	unsigned t;
 
 	for (i = 0; i < 3; i++) {
 		struct trainer_thread trainers[2] = {
-		    {.cluster = &cluster,
+		    {.world = &world,
 			.plan = "quotes",
 			.model = "m",
 			.units = deployment->units,
 			.steps = STEPS},
-		    {.cluster = &cluster,
+		    {.world = &world,
 			.plan = "shades",
 			.model = "n",
 			.units = deployment->units,
@@ -190,14 +190,14 @@
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		world_make(&cluster, deployment, policies[i]);
-		callers_run(&cluster, alone, 4, 0, &stopping);
+		world_make(&world, deployment, policies[i]);
+		callers_run(&world, alone, 4, 0, &stopping);
 		kwb_clock_sleep_ns(4000 * KWB_MS_NS);
 		stopping = true;
 		for (t = 0; t < 4; t++)
 			pthread_join(alone[t].thread, NULL);
 		stopping = false;
-		callers_run(&cluster, beside, 4, 0, &stopping);
+		callers_run(&world, beside, 4, 0, &stopping);
 		for (t = 0; t < 2; t++)
 			pthread_create(
 			    &trainers[t].thread, NULL, train, &trainers[t]);
@@ -221,12 +221,12 @@
 		       "age_mean=%.2f age_max=%.0f cache=%.0f%% wrong=%.0f\n",
 		    deployment->name, policies[i], sum.step_ns / 1e6,
 		    100 * sum.idle_ns / sum.total_ns, sum.age_sum / sum.samples,
-		    sum.age_most, 100 * cache_share(&cluster), sum.wrong);
+		    sum.age_most, 100 * cache_share(&world), sum.wrong);
 		printf("      callers alone:  ");
 		callers_print(alone, 4);
 		printf("      callers beside: ");
 		callers_print(beside, 4);
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 	}
 }
 
@@ -236,16 +236,16 @@
 {
 	static struct caller_thread callers[64];
 	static const unsigned counts[] = {8, 40, 8};
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned phase, t;
 
-	world_make(&cluster, deployment, "kwb");
+	world_make(&world, deployment, "kwb");
 	for (phase = 0; phase < 3; phase++) {
 		_Atomic bool stopping = false;
 		uint64_t begun_ns = kwb_clock_now_ns();
 		unsigned answered = 0;
 
-		callers_run(&cluster, callers, counts[phase], 0, &stopping);
+		callers_run(&world, callers, counts[phase], 0, &stopping);
 		kwb_clock_sleep_ns(5000 * KWB_MS_NS);
 		stopping = true;
 		for (t = 0; t < counts[phase]; t++) {
@@ -257,22 +257,22 @@
 		    answered * 1e9 / (double)(kwb_clock_now_ns() - begun_ns));
 		callers_print(callers, counts[phase]);
 	}
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 /* Time until all upstreams serve a new version. */
 static void
 scenario_weights(const struct deployment *deployment)
 {
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned round, i, done;
 	uint64_t begun_ns;
 
-	world_make(&cluster, deployment, "kwb");
-	cluster_set_control(&cluster, "platform", "weights_mb_s", 20);
+	world_make(&world, deployment, "kwb");
+	cluster_set_control(&world, "platform", "weights_mb_s", 20);
 	for (round = 0; round < 3; round++) {
 		begun_ns = kwb_clock_now_ns();
-		cluster_publish_weights(&cluster, "m", round + 2);
+		cluster_publish_weights(&world, "m", round + 2);
 		do {
 			char name[CLUSTER_NAME_MAX_BYTES], url[160], mark[64];
 			struct kwb_buf text;
@@ -283,7 +283,7 @@
 			    round + 2);
 			for (i = 1, done = 0; i <= deployment->engines; i++) {
 				snprintf(name, sizeof(name), "engine-%u", i);
-				cluster_print_url(&cluster, name, url, 64);
+				cluster_print_url(&world, name, url, 64);
 				strcat(url, "/load");
 				kwb_buf_init(&text);
 				cluster_http_request(
@@ -301,7 +301,7 @@
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e6,
 		    deployment->engines * 50 + 100);
 	}
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 /*
@@ -322,14 +322,13 @@
 		double time_ns;
 
 		if (step == trainer->kill_in_step)
-			pthread_create(
-			    &killer, NULL, kill_one, trainer->cluster);
+			pthread_create(&killer, NULL, kill_one, trainer->world);
 		train_step(trainer, step, step, &result);
 		if (step == trainer->kill_in_step)
 			pthread_join(killer, NULL);
 		time_ns = (double)result.time_ns;
 		cluster_publish_weights(
-		    trainer->cluster, trainer->model, step + 1);
+		    trainer->world, trainer->model, step + 1);
 		outcome->samples += result.received;
 		outcome->age_sum += (double)result.age_sum;
 		outcome->wrong += result.wrong + result.doubled + result.stale;
@@ -367,10 +366,8 @@
 	    .length_spread = LENGTH_SPREAD,
 	    .deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS};
 
-	cluster_print_url(
-	    trainer->cluster, "entry-1", urls[0], sizeof(urls[0]));
-	cluster_print_url(
-	    trainer->cluster, "entry-2", urls[1], sizeof(urls[1]));
+	cluster_print_url(trainer->world, "entry-1", urls[0], sizeof(urls[0]));
+	cluster_print_url(trainer->world, "entry-2", urls[1], sizeof(urls[1]));
 	trainer_pull(&pull, step, result);
 }
 
@@ -400,7 +397,7 @@
 				longest = length;
 		}
 	}
-	per_engine = (double)trainer->units / trainer->cluster->spec.engines;
+	per_engine = (double)trainer->units / trainer->world->spec.engines;
 	pace_ns = (TOKEN_US + BATCH_US * per_engine) * 1000;
 	length = total / trainer->units * pace_ns;
 	longest *= (TOKEN_US + BATCH_US) * 1000.0;
@@ -410,10 +407,10 @@
 static void *
 kill_one(void *argument)
 {
-	struct cluster *cluster = argument;
+	struct cluster *world = argument;
 
 	kwb_clock_sleep_ns(300 * KWB_MS_NS);
-	cluster_kill_process(cluster, "engine-2");
+	cluster_kill_process(world, "engine-2");
 	return NULL;
 }
 
@@ -431,7 +428,7 @@
 
 		snprintf(entry, sizeof(entry), "entry-%u",
 		    (caller->number + count) % 2 + 1);
-		cluster_print_url(caller->cluster, entry, url, 64);
+		cluster_print_url(caller->world, entry, url, 64);
 		strcat(url, "/v1/plans/search/completions");
 		snprintf(body, sizeof(body),
 		    "{\"prompt\":\"search %u\",\"seed\":%u,\"max_tokens\":40,"
@@ -452,14 +449,14 @@
 }
 
 static void
-callers_run(struct cluster *cluster, struct caller_thread *callers,
+callers_run(struct cluster *world, struct caller_thread *callers,
     unsigned count, uint64_t gap_ns, _Atomic bool *stopping)
 {
 	unsigned i;
 
 	for (i = 0; i < count; i++) {
 		memset(&callers[i], 0, sizeof(callers[i]));
-		callers[i].cluster = cluster;
+		callers[i].world = world;
 		callers[i].stopping = stopping;
 		callers[i].gap_ns = gap_ns;
 		callers[i].number = i;
@@ -488,26 +485,25 @@
 }
 
 static double
-cache_share(struct cluster *cluster)
+cache_share(struct cluster *world)
 {
 	double hits = 0, misses = 0;
 	char name[CLUSTER_NAME_MAX_BYTES];
 	unsigned i;
 
-	for (i = 1; i <= cluster->spec.engines; i++) {
+	for (i = 1; i <= world->spec.engines; i++) {
 		snprintf(name, sizeof(name), "engine-%u", i);
-		if (cluster_find_process(cluster, name)->pid == 0)
+		if (cluster_find_process(world, name)->pid == 0)
 			continue;
-		hits +=
-		    (double)cluster_get_control(cluster, name, "cache_hits");
+		hits += (double)cluster_get_control(world, name, "cache_hits");
 		misses +=
-		    (double)cluster_get_control(cluster, name, "cache_misses");
+		    (double)cluster_get_control(world, name, "cache_misses");
 	}
 	return hits + misses > 0 ? hits / (hits + misses) : 0;
 }
 
 static void
-world_make(struct cluster *cluster, const struct deployment *deployment,
+world_make(struct cluster *world, const struct deployment *deployment,
     const char *policy)
 {
 	char extra[256];
@@ -526,12 +522,12 @@
 	    "--length_spread %d",
 	    TOKEN_US, BATCH_US, LENGTH_MEDIAN, LENGTH_SPREAD);
 	spec.lists = domain_lists(deployment);
-	if (cluster_start(cluster, &spec, BASE_PORT) == 0) {
-		cluster_publish_weights(cluster, "n", 1);
+	if (cluster_start(world, &spec, BASE_PORT) == 0) {
+		cluster_publish_weights(world, "n", 1);
 		return;
 	}
 	fprintf(stderr, "the world did not start\n");
-	cluster_stop(cluster);
+	cluster_stop(world);
 	exit(1);
 }
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -23,7 +23,7 @@
 
 /* Callers that send requests until a number is reached. */
 struct load {
-	struct cluster *cluster;
+	struct cluster *world;
 	unsigned requests;
 	unsigned max_tokens;
 	_Atomic unsigned next;
@@ -38,14 +38,14 @@
 static void slope_platform(void);
 static void slope_lists(void);
 static void slope_overhead(void);
-static void world_make(struct cluster *cluster, unsigned entries,
-    unsigned engines, unsigned plans);
+static void world_make(
+    struct cluster *world, unsigned entries, unsigned engines, unsigned plans);
 static void lists_make(struct kwb_buf *text, unsigned plans);
-static void load_run(struct cluster *cluster, unsigned callers,
-    unsigned requests, unsigned max_tokens);
+static void load_run(struct cluster *world, unsigned callers, unsigned requests,
+    unsigned max_tokens);
 static void *load_caller(void *argument);
 static double idle_cpu(
-    struct cluster *cluster, const char *name, struct account *idle);
+    struct cluster *world, const char *name, struct account *idle);
 
 int
 main(int argc, char **argv)
@@ -83,16 +83,16 @@
 	static const unsigned entries[] = {1, 2, 4, 8};
 	struct line cpu = {0}, rss = {0}, bytes = {0};
 	struct account account;
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		world_make(&cluster, 1, agents[i], 2);
+		world_make(&world, 1, agents[i], 2);
 		line_add(
-		    &cpu, agents[i], idle_cpu(&cluster, "entry-1", &account));
+		    &cpu, agents[i], idle_cpu(&world, "entry-1", &account));
 		line_add(&rss, agents[i], account.rss_kb);
 		line_add(&bytes, agents[i], account.control_bytes);
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 	}
 	line_print(&cpu, "entry idle, core", "agent", "%");
 	line_print(&rss, "entry idle, memory", "agent", "KB");
@@ -101,12 +101,11 @@
 	memset(&rss, 0, sizeof(rss));
 	memset(&bytes, 0, sizeof(bytes));
 	for (i = 0; i < 4; i++) {
-		world_make(&cluster, entries[i], 2, 2);
-		line_add(
-		    &cpu, entries[i], idle_cpu(&cluster, "llm-1", &account));
+		world_make(&world, entries[i], 2, 2);
+		line_add(&cpu, entries[i], idle_cpu(&world, "llm-1", &account));
 		line_add(&rss, entries[i], account.rss_kb);
 		line_add(&bytes, entries[i], account.control_bytes);
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 	}
 	line_print(&cpu, "agent idle, core", "entry", "%");
 	line_print(&rss, "agent idle, memory", "entry", "KB");
@@ -119,21 +118,21 @@
 	static const unsigned requests[] = {500, 1000, 2000, 4000};
 	struct line entry = {0}, agent = {0}, rate = {0};
 	struct account before, after, agent_before, agent_after;
-	static struct cluster cluster;
+	static struct cluster world;
 	uint64_t begun_ns;
 	unsigned i;
 
-	world_make(&cluster, 1, 1, 2);
+	world_make(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
-		account_take(&cluster, "entry-1", &before);
-		account_take(&cluster, "llm-1", &agent_before);
+		account_take(&world, "entry-1", &before);
+		account_take(&world, "llm-1", &agent_before);
 		begun_ns = kwb_clock_now_ns();
-		load_run(&cluster, CALLERS, requests[i], 1);
+		load_run(&world, CALLERS, requests[i], 1);
 		line_add(&rate, requests[i],
 		    requests[i] * 1e9 /
 			(double)(kwb_clock_now_ns() - begun_ns));
-		account_take(&cluster, "entry-1", &after);
-		account_take(&cluster, "llm-1", &agent_after);
+		account_take(&world, "entry-1", &after);
+		account_take(&world, "llm-1", &agent_after);
 		line_add(&entry, requests[i], after.cpu_ms - before.cpu_ms);
 		line_add(&agent, requests[i],
 		    agent_after.cpu_ms - agent_before.cpu_ms);
@@ -141,7 +140,7 @@
 	line_print(&entry, "entry, short answers", "request", "ms");
 	line_print(&agent, "agent, short answers", "request", "ms");
 	line_print(&rate, "requests a second, 8 callers", "request", "1/s");
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 static void
@@ -150,16 +149,16 @@
 	static const unsigned tokens[] = {50, 100, 200, 400};
 	struct line entry = {0}, agent = {0};
 	struct account before, after, agent_before, agent_after;
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned i;
 
-	world_make(&cluster, 1, 1, 2);
+	world_make(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
-		account_take(&cluster, "entry-1", &before);
-		account_take(&cluster, "llm-1", &agent_before);
-		load_run(&cluster, CALLERS, 64, tokens[i]);
-		account_take(&cluster, "entry-1", &after);
-		account_take(&cluster, "llm-1", &agent_after);
+		account_take(&world, "entry-1", &before);
+		account_take(&world, "llm-1", &agent_before);
+		load_run(&world, CALLERS, 64, tokens[i]);
+		account_take(&world, "entry-1", &after);
+		account_take(&world, "llm-1", &agent_after);
 		line_add(&entry, 64.0 * tokens[i],
 		    (after.cpu_ms - before.cpu_ms) * 1000);
 		line_add(&agent, 64.0 * tokens[i],
@@ -167,7 +166,7 @@
 	}
 	line_print(&entry, "entry, streamed answers", "token", "us");
 	line_print(&agent, "agent, streamed answers", "token", "us");
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 /* Memory while streams are open. */
@@ -177,25 +176,25 @@
 	static const unsigned streams[] = {8, 16, 32, 64};
 	struct line entry = {0}, agent = {0};
 	struct account account;
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
 		pthread_t threads[64];
-		struct load load = {&cluster, streams[i], 4000, 0};
+		struct load load = {&world, streams[i], 4000, 0};
 		unsigned j;
 
-		world_make(&cluster, 1, 1, 2);
+		world_make(&world, 1, 1, 2);
 		for (j = 0; j < streams[i]; j++)
 			pthread_create(&threads[j], NULL, load_caller, &load);
 		kwb_clock_sleep_ns(1000 * KWB_MS_NS);
-		account_take(&cluster, "entry-1", &account);
+		account_take(&world, "entry-1", &account);
 		line_add(&entry, streams[i], account.rss_kb);
-		account_take(&cluster, "llm-1", &account);
+		account_take(&world, "llm-1", &account);
 		line_add(&agent, streams[i], account.rss_kb);
 		for (j = 0; j < streams[i]; j++)
 			pthread_join(threads[j], NULL);
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 	}
 	line_print(&entry, "entry, open streams, memory", "stream", "KB");
 	line_print(&agent, "agent, open streams, memory", "stream", "KB");
@@ -207,7 +206,7 @@
 	static const unsigned changes[] = {10, 20, 40, 80};
 	struct line cpu = {0}, bytes = {0}, agent_cpu = {0};
 	struct account before, after, agent_before, agent_after;
-	static struct cluster cluster;
+	static struct cluster world;
 	char assignment[32];
 	const char *arguments[] = {
 	    "--wait-ms", "0", "edit", "allowance", "search", assignment, NULL};
@@ -215,23 +214,23 @@
 	uint64_t begun_ns;
 	unsigned i, j;
 
-	world_make(&cluster, 1, 4, 16);
-	idle = idle_cpu(&cluster, "entry-1", &before);
+	world_make(&world, 1, 4, 16);
+	idle = idle_cpu(&world, "entry-1", &before);
 	idle_bytes = before.control_bytes;
-	agent_idle = idle_cpu(&cluster, "llm-1", &before);
+	agent_idle = idle_cpu(&world, "llm-1", &before);
 	for (i = 0; i < 4; i++) {
-		account_take(&cluster, "entry-1", &before);
-		account_take(&cluster, "llm-1", &agent_before);
+		account_take(&world, "entry-1", &before);
+		account_take(&world, "llm-1", &agent_before);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < changes[i]; j++) {
 			snprintf(assignment, sizeof(assignment), "queue=%u",
 			    100 + i * 100 + j);
-			cluster_run_kwbctl(&cluster, arguments, "/dev/null");
+			cluster_run_kwbctl(&world, arguments, "/dev/null");
 		}
 		kwb_clock_sleep_ns(1500 * KWB_MS_NS);
 		passed_s = (double)(kwb_clock_now_ns() - begun_ns) / 1e9;
-		account_take(&cluster, "entry-1", &after);
-		account_take(&cluster, "llm-1", &agent_after);
+		account_take(&world, "entry-1", &after);
+		account_take(&world, "llm-1", &agent_after);
 		line_add(&cpu, changes[i],
 		    after.cpu_ms - before.cpu_ms - idle * 10 * passed_s);
 		line_add(&agent_cpu, changes[i],
@@ -245,7 +244,7 @@
 	line_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
 	line_print(
 	    &bytes, "entry, changes, sent to 4 agents", "change", "bytes");
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 static void
@@ -255,19 +254,18 @@
 	struct line cpu = {0}, rss = {0}, bytes = {0}, agent_cpu = {0},
 		    agent_bytes = {0};
 	struct account account;
-	static struct cluster cluster;
+	static struct cluster world;
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		world_make(&cluster, 1, 4, plans[i]);
-		line_add(
-		    &cpu, plans[i], idle_cpu(&cluster, "entry-1", &account));
+		world_make(&world, 1, 4, plans[i]);
+		line_add(&cpu, plans[i], idle_cpu(&world, "entry-1", &account));
 		line_add(&rss, plans[i], account.rss_kb);
 		line_add(&bytes, plans[i], account.control_bytes);
-		line_add(&agent_cpu, plans[i],
-		    idle_cpu(&cluster, "llm-1", &account));
+		line_add(
+		    &agent_cpu, plans[i], idle_cpu(&world, "llm-1", &account));
 		line_add(&agent_bytes, plans[i], account.control_bytes);
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 	}
 	line_print(&cpu, "entry idle, core", "plan", "%");
 	line_print(&rss, "entry idle, memory", "plan", "KB");
@@ -283,25 +281,24 @@
 	static const unsigned entries[] = {1, 2, 4, 8};
 	static const unsigned agents[] = {4, 8, 16, 24};
 	struct line reads = {0}, writes = {0}, agent_reads = {0};
-	static struct cluster cluster;
+	static struct cluster world;
 	int64_t read, written;
 	double seconds = IDLE_NS / 1e9;
 	unsigned i, pass;
 
 	for (pass = 0; pass < 2; pass++)
 		for (i = 0; i < 4; i++) {
-			world_make(&cluster, pass ? 1 : entries[i],
+			world_make(&world, pass ? 1 : entries[i],
 			    pass ? agents[i] : 2, 2);
-			read =
-			    cluster_get_control(&cluster, "platform", "reads");
+			read = cluster_get_control(&world, "platform", "reads");
 			written =
-			    cluster_get_control(&cluster, "platform", "writes");
+			    cluster_get_control(&world, "platform", "writes");
 			kwb_clock_sleep_ns(IDLE_NS);
 			read =
-			    cluster_get_control(&cluster, "platform", "reads") -
+			    cluster_get_control(&world, "platform", "reads") -
 			    read;
-			written = cluster_get_control(
-				      &cluster, "platform", "writes") -
+			written =
+			    cluster_get_control(&world, "platform", "writes") -
 			    written;
 			if (pass)
 				line_add(&agent_reads, agents[i],
@@ -312,7 +309,7 @@
 			if (!pass)
 				line_add(&writes, entries[i],
 				    (double)written / seconds);
-			cluster_stop(&cluster);
+			cluster_stop(&world);
 		}
 	line_print(&reads, "table reads", "entry", "1/s");
 	line_print(&writes, "table writes", "entry", "1/s");
@@ -371,14 +368,14 @@
 slope_overhead(void)
 {
 	static double direct[2000], through[2000];
-	static struct cluster cluster;
+	static struct cluster world;
 	char engine[160], entry[160];
 	unsigned i;
 
-	world_make(&cluster, 1, 1, 2);
-	cluster_print_url(&cluster, "engine-1", engine, 64);
+	world_make(&world, 1, 1, 2);
+	cluster_print_url(&world, "engine-1", engine, 64);
 	strcat(engine, "/v1/completions");
-	cluster_print_url(&cluster, "entry-1", entry, 64);
+	cluster_print_url(&world, "entry-1", entry, 64);
 	strcat(entry, "/v1/plans/search/completions");
 	for (i = 0; i < 2000; i++) {
 		char body[160];
@@ -400,12 +397,12 @@
 	       "ms, through entry and agent p50 %.2f p99 %.2f ms\n",
 	    percentile(direct, 2000, 0.5), percentile(direct, 2000, 0.99),
 	    percentile(through, 2000, 0.5), percentile(through, 2000, 0.99));
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 }
 
 static void
 world_make(
-    struct cluster *cluster, unsigned entries, unsigned engines, unsigned plans)
+    struct cluster *world, unsigned entries, unsigned engines, unsigned plans)
 {
 	static struct kwb_buf lists;
 	struct cluster_spec spec = {.entries = entries,
@@ -419,10 +416,10 @@
 	lists.used_bytes = 0;
 	lists_make(&lists, plans);
 	spec.lists = lists.data;
-	if (cluster_start(cluster, &spec, BASE_PORT) == 0)
+	if (cluster_start(world, &spec, BASE_PORT) == 0)
 		return;
 	fprintf(stderr, "the world did not start\n");
-	cluster_stop(cluster);
+	cluster_stop(world);
 	exit(1);
 }
 
@@ -449,10 +446,10 @@
 }
 
 static void
-load_run(struct cluster *cluster, unsigned callers, unsigned requests,
+load_run(struct cluster *world, unsigned callers, unsigned requests,
     unsigned max_tokens)
 {
-	struct load load = {cluster, requests, max_tokens, 0};
+	struct load load = {world, requests, max_tokens, 0};
 	pthread_t threads[64];
 	unsigned i;
 
@@ -469,7 +466,7 @@
 	char url[160], body[128];
 	unsigned number;
 
-	cluster_print_url(load->cluster, "entry-1", url, sizeof(url));
+	cluster_print_url(load->world, "entry-1", url, sizeof(url));
 	strcat(url, "/v1/plans/search/completions");
 	while ((number = load->next++) < load->requests) {
 		snprintf(body, sizeof(body),
@@ -484,14 +481,14 @@
 
 /* Percent of a core over a while without load; control bytes a second. */
 static double
-idle_cpu(struct cluster *cluster, const char *name, struct account *idle)
+idle_cpu(struct cluster *world, const char *name, struct account *idle)
 {
 	struct account before;
 	double seconds = IDLE_NS / 1e9;
 
-	account_take(cluster, name, &before);
+	account_take(world, name, &before);
 	kwb_clock_sleep_ns(IDLE_NS);
-	account_take(cluster, name, idle);
+	account_take(world, name, idle);
 	idle->control_bytes =
 	    (idle->control_bytes - before.control_bytes) / seconds;
 	return (idle->cpu_ms - before.cpu_ms) / (seconds * 10);
--- a/tests/contract.c
+++ b/tests/contract.c
@@ -56,7 +56,7 @@
 int
 main(void)
 {
-	static struct cluster cluster;
+	static struct cluster world;
 	struct cluster_spec spec = {.entries = 1,
 	    .engines = 1,
 	    .services = 1,
@@ -70,16 +70,16 @@
 	kwb_log_init("contract", KWB_LOG_ERROR);
 	kwb_http_init();
 	signal(SIGPIPE, SIG_IGN);
-	check(cluster_start(&cluster, &spec, BASE_PORT) == 0,
-	    "the world starts", "");
-	check_calls(&cluster);
-	check_weight_orders(&cluster);
+	check(cluster_start(&world, &spec, BASE_PORT) == 0, "the world starts",
+	    "");
+	check_calls(&world);
+	check_weight_orders(&world);
 	check_attempt_fencing();
 	check_stream_across_swap();
 	check_silent_links();
-	check_share_in_outage(&cluster);
+	check_share_in_outage(&world);
 	check_malformed_frames();
-	cluster_stop(&cluster);
+	cluster_stop(&world);
 	printf("contract tests: %u passed, %u failed\n", passed, failed);
 	return failed > 0;
 }
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -20,14 +20,14 @@
 #define SESSIONS_MAX 512
 #define KNOWN_FAILURES_FILE "KNOWN-RED.txt"
 
-struct session_spec {
+struct session_line {
 	const char *first;
 	const char *second; /* NULL for one alone */
 	uint64_t seed;
 };
 
 /* Pairs, and the same fault twice in a row at targets of its own. */
-static const struct session_spec pairs[] = {
+static const struct session_line pairs[] = {
     {"kill_entry", "table_down", 11},
     {"kill_llm", "table_down", 12},
     {"kill_shop", "table_loses", 13},
@@ -49,16 +49,16 @@
 };
 
 static const struct fault *find_fault(const char *name);
-static int run_session(const struct session_spec *spec, uint16_t base_port);
-static int run_sessions(const struct session_spec *specs, unsigned count);
-static bool is_known_failure(const struct session_spec *spec);
-static void print_session_spec(
-    const struct session_spec *spec, char *text, size_t capacity_bytes);
+static int run_session(const struct session_line *line, uint16_t base_port);
+static int run_sessions(const struct session_line *lines, unsigned count);
+static bool is_known_failure(const struct session_line *line);
+static void line_print(
+    const struct session_line *line, char *text, size_t capacity_bytes);
 
 int
 main(int argc, char **argv)
 {
-	static struct session_spec specs[SESSIONS_MAX];
+	static struct session_line lines[SESSIONS_MAX];
 	unsigned i, count = 0, state = (unsigned)time(NULL);
 
 	kwb_log_init("faults", KWB_LOG_ERROR);
@@ -67,34 +67,34 @@
 	if (argc == 3 && strcmp(argv[1], "--soak") == 0) {
 		count = (unsigned)atoi(argv[2]) % SESSIONS_MAX;
 		for (i = 0; i < count; i++) {
-			specs[i].first =
+			lines[i].first =
 			    session_faults[(unsigned)rand_r(&state) %
 				session_faults_count]
 				.name;
-			specs[i].second =
+			lines[i].second =
 			    session_faults[(unsigned)rand_r(&state) %
 				session_faults_count]
 				.name;
-			specs[i].seed = (unsigned)rand_r(&state);
+			lines[i].seed = (unsigned)rand_r(&state);
 		}
-		return run_sessions(specs, count);
+		return run_sessions(lines, count);
 	}
 	if (argc > 1) {
 		const char *last = argv[argc - 1];
 
-		specs[0].first = argv[1];
-		specs[0].seed = find_fault(last) ? 1 : strtoull(last, NULL, 10);
+		lines[0].first = argv[1];
+		lines[0].seed = find_fault(last) ? 1 : strtoull(last, NULL, 10);
 		if (argc > 2 && find_fault(argv[2]))
-			specs[0].second = argv[2];
-		return run_session(&specs[0], BASE_PORT);
+			lines[0].second = argv[2];
+		return run_session(&lines[0], BASE_PORT);
 	}
 	for (i = 0; i < session_faults_count; i++) {
-		specs[count].first = session_faults[i].name;
-		specs[count++].seed = i + 1;
+		lines[count].first = session_faults[i].name;
+		lines[count++].seed = i + 1;
 	}
 	for (i = 0; i < sizeof(pairs) / sizeof(pairs[0]); i++)
-		specs[count++] = pairs[i];
-	return run_sessions(specs, count);
+		lines[count++] = pairs[i];
+	return run_sessions(lines, count);
 }
 
 static const struct fault *
@@ -109,20 +109,20 @@
 }
 
 static int
-run_session(const struct session_spec *spec, uint16_t base_port)
+run_session(const struct session_line *line, uint16_t base_port)
 {
 	static struct session session;
 	char text[128];
 	unsigned i;
 	bool passed;
 
-	print_session_spec(spec, text, sizeof(text));
-	if (find_fault(spec->first) == NULL && strcmp(spec->first, "none")) {
-		fprintf(stderr, "no fault %s\n", spec->first);
+	line_print(line, text, sizeof(text));
+	if (find_fault(line->first) == NULL && strcmp(line->first, "none")) {
+		fprintf(stderr, "no fault %s\n", line->first);
 		return 2;
 	}
-	passed = session_run(&session, find_fault(spec->first),
-	    find_fault(spec->second), spec->seed, base_port);
+	passed = session_run(&session, find_fault(line->first),
+	    find_fault(line->second), line->seed, base_port);
 	printf("%s %-40s steps=%u samples=%u answers=%u refused=%u orders=%u "
 	       "step_after_ms=%u order_after_ms=%u\n",
 	    passed ? "ok    " : "FAILED", text, session.complete_steps,
@@ -142,10 +142,10 @@
 
 /* Runs several sessions at a time, each in a process with its own ports. */
 static int
-run_sessions(const struct session_spec *specs, unsigned count)
+run_sessions(const struct session_line *lines, unsigned count)
 {
 	pid_t pids[PARALLEL_SESSIONS] = {0};
-	unsigned running_spec[PARALLEL_SESSIONS] = {0}, next = 0, done = 0,
+	unsigned running_line[PARALLEL_SESSIONS] = {0}, next = 0, done = 0,
 		 slot;
 	unsigned passed = 0, failed = 0, known_failures = 0;
 	int status;
@@ -156,10 +156,10 @@
 		for (slot = 0; slot < PARALLEL_SESSIONS; slot++) {
 			if (pids[slot] != 0 || next == count)
 				continue;
-			running_spec[slot] = next;
+			running_line[slot] = next;
 			pids[slot] = fork();
 			if (pids[slot] == 0)
-				_exit(run_session(&specs[next],
+				_exit(run_session(&lines[next],
 				    (uint16_t)(BASE_PORT +
 					slot * CLUSTER_PORTS_COUNT)));
 			next++;
@@ -172,7 +172,7 @@
 			done++;
 			if (WIFEXITED(status) && WEXITSTATUS(status) == 0)
 				passed++;
-			else if (is_known_failure(&specs[running_spec[slot]]))
+			else if (is_known_failure(&lines[running_line[slot]]))
 				known_failures++;
 			else
 				failed++;
@@ -185,13 +185,13 @@
 
 /* Whether the session stands in the list of known faults. */
 static bool
-is_known_failure(const struct session_spec *spec)
+is_known_failure(const struct session_line *line)
 {
 	char wanted[128], text[512];
 	FILE *file = fopen(KNOWN_FAILURES_FILE, "r");
 	bool found = false;
 
-	print_session_spec(spec, wanted, sizeof(wanted));
+	line_print(line, wanted, sizeof(wanted));
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strstr(text, "build/tests/faults ") != NULL &&
 		    strstr(text, wanted) != NULL)
@@ -204,10 +204,9 @@
 }
 
 static void
-print_session_spec(
-    const struct session_spec *spec, char *text, size_t capacity_bytes)
+line_print(const struct session_line *line, char *text, size_t capacity_bytes)
 {
-	snprintf(text, capacity_bytes, "%s%s%s %llu", spec->first,
-	    spec->second ? " " : "", spec->second ? spec->second : "",
-	    (unsigned long long)spec->seed);
+	snprintf(text, capacity_bytes, "%s%s%s %llu", line->first,
+	    line->second ? " " : "", line->second ? line->second : "",
+	    (unsigned long long)line->seed);
 }
--- a/tests/golden.c
+++ b/tests/golden.c
@@ -56,7 +56,7 @@
 int
 main(int argc, char **argv)
 {
-	static struct cluster cluster;
+	static struct cluster world;
 	struct cluster_spec spec = {.entries = 2,
 	    .engines = 2,
 	    .services = 1,
@@ -76,11 +76,10 @@
 	signal(SIGPIPE, SIG_IGN);
 	glob("tests/scripts/*.txt", 0, NULL, &found);
 	for (i = 0; i < found.gl_pathc; i++) {
-		bool is_equal =
-		    cluster_start(&cluster, &spec, BASE_PORT) == 0 &&
-		    run_script(&cluster, found.gl_pathv[i], write);
+		bool is_equal = cluster_start(&world, &spec, BASE_PORT) == 0 &&
+		    run_script(&world, found.gl_pathv[i], write);
 
-		cluster_stop(&cluster);
+		cluster_stop(&world);
 		passed += is_equal;
 		failed += !is_equal;
 	}
--- a/tests/session_faults.c
+++ b/tests/session_faults.c
@@ -34,7 +34,7 @@
 };
 
 static const char *
-target_name(enum target_kind kind, unsigned index, char *name)
+target(enum target_kind kind, unsigned index, char *name)
 {
 	static const struct {
 		const char *prefix;
@@ -59,14 +59,14 @@
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
 		cluster_kill_process(                                          \
-		    &session->cluster, target_name(kind, index, name));        \
+		    &session->cluster, target(kind, index, name));             \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
 		cluster_start_process(                                         \
-		    &session->cluster, target_name(kind, index, name));        \
+		    &session->cluster, target(kind, index, name));             \
 	}
 
 #define DEFINE_SIGNAL_FAULT(fault, kind, first, second)                        \
@@ -77,14 +77,14 @@
 		if (kind == TARGET_ENTRY)                                      \
 			session->frozen_entry = index % ENTRIES + 1;           \
 		cluster_signal_process(                                        \
-		    &session->cluster, target_name(kind, index, name), first); \
+		    &session->cluster, target(kind, index, name), first);      \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
-		cluster_signal_process(&session->cluster,                      \
-		    target_name(kind, index, name), second);                   \
+		cluster_signal_process(                                        \
+		    &session->cluster, target(kind, index, name), second);     \
 	}
 
 #define DEFINE_RELAY_FAULT(fault, kind, control, value)                        \
@@ -94,7 +94,7 @@
 		    relay[2 * CLUSTER_NAME_MAX_BYTES];                         \
                                                                                \
 		snprintf(relay, sizeof(relay), "relay-%s",                     \
-		    target_name(kind, index, name));                           \
+		    target(kind, index, name));                                \
 		cluster_set_control(&session->cluster, relay, control, value); \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
@@ -103,7 +103,7 @@
 		    relay[2 * CLUSTER_NAME_MAX_BYTES];                         \
                                                                                \
 		snprintf(relay, sizeof(relay), "relay-%s",                     \
-		    target_name(kind, index, name));                           \
+		    target(kind, index, name));                                \
 		if (strcmp(control, "silent") != 0)                            \
 			cluster_set_control(                                   \
 			    &session->cluster, relay, control, 0);             \
@@ -115,14 +115,14 @@
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
 		cluster_set_control(&session->cluster,                         \
-		    target_name(kind, index, name), control, value);           \
+		    target(kind, index, name), control, value);                \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
-		cluster_set_control(&session->cluster,                         \
-		    target_name(kind, index, name), control, 0);               \
+		cluster_set_control(                                           \
+		    &session->cluster, target(kind, index, name), control, 0); \
 	}
 
 #define DEFINE_PLATFORM_FAULT(fault, control, value)                           \
@@ -148,15 +148,15 @@
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
-		cluster_signal_process(&session->cluster,                      \
-		    target_name(kind, index, name), SIGTERM);                  \
+		cluster_signal_process(                                        \
+		    &session->cluster, target(kind, index, name), SIGTERM);    \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
 		int code;                                                      \
                                                                                \
-		target_name(kind, index, name);                                \
+		target(kind, index, name);                                     \
 		code = cluster_wait_process(&session->cluster, name, 25000);   \
 		if (code != 0)                                                 \
 			session_fail(session, "%s ended with %d", name, code); \
@@ -223,7 +223,7 @@
 	char name[CLUSTER_NAME_MAX_BYTES];
 
 	cluster_find_process(
-	    &session->cluster, target_name(TARGET_LLM_AGENT, index, name))
+	    &session->cluster, target(TARGET_LLM_AGENT, index, name))
 	    ->state[0] = '\0';
 	cluster_publish_vms(&session->cluster);
 }
@@ -233,8 +233,8 @@
 {
 	char name[CLUSTER_NAME_MAX_BYTES];
 
-	strcpy(cluster_find_process(&session->cluster,
-		   target_name(TARGET_LLM_AGENT, index, name))
+	strcpy(cluster_find_process(
+		   &session->cluster, target(TARGET_LLM_AGENT, index, name))
 		   ->state,
 	    "live");
 	cluster_publish_vms(&session->cluster);
