--- a/tests/session.c
+++ b/tests/session.c
@@ -1,5 +1,5 @@
 /*
- * A session: load, faults, verdict.
+ * Fault sessions: load, faults, and checks of what the clients saw.
  */
 #include <signal.h>
 #include <stdarg.h>
@@ -21,7 +21,7 @@
 #define WARM_UP_MS 1000
 #define RECOVERY_MS 3500
 #define CALL_TIMEOUT_MS 4000
-#define CLIENT_SLACK_MS 1500
+#define CLIENT_SLACK_MS 1500 /* beyond the call's timeout, before it hung */
 #define STEP_DEADLINE_MS 30000
 #define RESEND_MS 6000
 #define QUOTES_UNITS 20
@@ -31,8 +31,8 @@
 #define LENGTH_SPREAD 60
 #define MAX_TOKENS 200
 #define STALENESS_BOUND_VERSIONS 2
-#define LEAVING_GRACE_MS 3000
-#define IN_FORCE_MAX_MS 6000
+#define LEAVING_GRACE_MS 3000 /* until a leaving upstream gets nothing new */
+#define IN_FORCE_MAX_MS 6000  /* until a change is in force everywhere */
 #define MONITOR_ROUND_MAX_NS (30 * KWB_MS_NS)
 
 static const char lists_text[] =
@@ -54,10 +54,11 @@
     "  - {plan: search, concurrent: 6, queue: 100}\n"
     "  - {plan: orders, concurrent: 6, queue: 100}\n";
 
+/* A thread that makes load, monitors or edits. */
 struct worker {
 	struct session *session;
 	unsigned number;
-	unsigned state; /* of its random numbers */
+	unsigned random_state;
 	pthread_t thread;
 };
 
@@ -72,7 +73,7 @@
 static unsigned pick_healthy_entry(struct worker *worker);
 static void print_entry_url(struct session *session, unsigned entry, char *url);
 static void count_broken_request(
-    struct session *session, unsigned entry, uint64_t begun_ns, int status);
+    struct session *session, unsigned entry, uint64_t started_ns, int status);
 static void check_running_requests(struct session *session);
 static void check_revisions(struct session *session, uint64_t *seen);
 static void verify_session(struct session *session);
@@ -106,7 +107,7 @@
 	session->is_planned = (first == NULL || first->is_planned) &&
 	    (second == NULL || second->is_planned);
 	if (cluster_start(&session->cluster, &spec, base_port) != 0) {
-		session_fail(session, "the world did not start");
+		session_fail(session, "the test cluster did not start");
 		cluster_stop(&session->cluster);
 		return false;
 	}
@@ -116,7 +117,7 @@
 
 		workers[i].session = session;
 		workers[i].number = i;
-		workers[i].state = (unsigned)seed * 131 + i;
+		workers[i].random_state = (unsigned)seed * 131 + i;
 		pthread_create(&workers[i].thread, NULL,
 		    i < 3		  ? runs[i]
 			: i < 3 + CALLERS ? run_caller
@@ -139,7 +140,7 @@
 		after = leaving_upstream_requests(session, first, index);
 		if (before != after)
 			session_fail(session,
-			    "%lld new requests at a leaving upstream",
+			    "%lld new requests sent to a leaving upstream",
 			    (long long)(after - before));
 		if (second != NULL)
 			second->heal(session, index / 7);
@@ -172,7 +173,7 @@
 	pthread_mutex_unlock(&session->lock);
 }
 
-/* Pulls step after step, publishing new weights after each. */
+/* Pulls step after step; each makes a new weight version to be published. */
 static void *
 run_trainer(void *argument)
 {
@@ -218,7 +219,7 @@
 	return NULL;
 }
 
-/* Asks for answers and checks each against what the engines make. */
+/* Sends interactive calls and compares each answer with the expected tokens. */
 static void *
 run_caller(void *argument)
 {
@@ -230,7 +231,7 @@
 		char url[160], prompt[64], body[160], outcome[16];
 		struct kwb_buf answer;
 		unsigned entry = pick_healthy_entry(worker);
-		uint64_t begun_ns = kwb_clock_now_ns();
+		uint64_t started_ns = kwb_clock_now_ns();
 		int status;
 
 		snprintf(prompt, sizeof(prompt), "search %u of caller %u",
@@ -245,18 +246,18 @@
 		status = cluster_http_request("POST", url,
 		    "X-Kwb-Timeout-Ms: 4000", body, &answer, outcome,
 		    CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
-		count_broken_request(session, entry, begun_ns, status);
+		count_broken_request(session, entry, started_ns, status);
 		pthread_mutex_lock(&session->lock);
 		if (status == 200) {
-			bool whole =
+			bool is_complete =
 			    strstr(kwb_buf_text(&answer), "[DONE]") != NULL;
 
-			session->answers += whole;
-			if (whole &&
+			session->answers += is_complete;
+			if (is_complete &&
 			    !is_expected_answer(
 				kwb_buf_text(&answer), prompt, count))
 				session->wrong_answers++;
-			if (!whole && session->is_planned)
+			if (!is_complete && session->is_planned)
 				session->cut_off_requests++;
 		} else if (status != 0) {
 			session->refused_requests++;
@@ -270,6 +271,7 @@
 	return NULL;
 }
 
+/* Sends orders one after the other. */
 static void *
 run_order_client(void *argument)
 {
@@ -284,8 +286,9 @@
 }
 
 /*
- * One order, named in one of three ways. With a key or ticket it is
- * repeated through the other entry while its outcome is not known.
+ * Places one order: without a name, with an idempotency key, or with a ticket.
+ * With a key or ticket it is sent up to four times, alternating between the
+ * entries, while its outcome is unknown.
  */
 static void
 place_order(struct worker *worker, unsigned count)
@@ -293,18 +296,19 @@
 	struct session *session = worker->session;
 	char url[160], header[256] = "", outcome_name[16] = "";
 	struct order_record record = {.outcome = ORDER_NONE};
-	unsigned entry = pick_healthy_entry(worker), tries, way = count % 3;
+	unsigned entry = pick_healthy_entry(worker), attempt,
+		 naming = count % 3;
 	struct kwb_buf answer;
-	uint64_t begun_ns;
+	uint64_t started_ns;
 	int status;
 
 	snprintf(record.body, sizeof(record.body), "order-%u-%u;",
 	    worker->number, count);
 	kwb_buf_init(&answer);
-	if (way == 1)
+	if (naming == 1)
 		snprintf(header, sizeof(header), "Idempotency-Key: k-%u-%u",
 		    worker->number, count);
-	if (way == 2) {
+	if (naming == 2) {
 		print_entry_url(session, entry, url);
 		strcat(url, "/v1/plans/orders/tickets");
 		if (cluster_http_request(
@@ -315,15 +319,15 @@
 		snprintf(header, sizeof(header), "X-Kwb-Ticket: %s",
 		    kwb_buf_text(&answer));
 	}
-	for (tries = 0; tries < (way == 0 ? 1 : 4); tries++) {
+	for (attempt = 0; attempt < (naming == 0 ? 1 : 4); attempt++) {
 		print_entry_url(session, entry, url);
 		strcat(url, "/v1/plans/orders/call/orders");
 		answer.used_bytes = 0;
-		begun_ns = kwb_clock_now_ns();
+		started_ns = kwb_clock_now_ns();
 		status = cluster_http_request("POST", url,
 		    header[0] ? header : NULL, record.body, &answer,
 		    outcome_name, CALL_TIMEOUT_MS + CLIENT_SLACK_MS);
-		count_broken_request(session, entry, begun_ns, status);
+		count_broken_request(session, entry, started_ns, status);
 		if (status != 0 && strcmp(outcome_name, "ran") == 0)
 			record.outcome = ORDER_RAN;
 		else if (status != 0 && strcmp(outcome_name, "not_run") == 0)
@@ -349,7 +353,7 @@
 	kwb_buf_finish(&answer);
 }
 
-/* Tokens of an event stream against the text of the prompt and seed. */
+/* Whether an event stream holds the tokens that a prompt and seed produce. */
 static bool
 is_expected_answer(const char *text, const char *prompt, uint64_t seed)
 {
@@ -372,15 +376,16 @@
 	return index == (length < MAX_TOKENS ? length : MAX_TOKENS);
 }
 
-/* As the platform's balancer does: an entry whose health URL is well. */
+/* Picks an entry whose /health answers 200, as the platform's balancer does. */
 static unsigned
 pick_healthy_entry(struct worker *worker)
 {
-	unsigned first = (unsigned)rand_r(&worker->state), tries, entry;
+	unsigned first = (unsigned)rand_r(&worker->random_state), attempt,
+		 entry;
 	char url[160];
 
-	for (tries = 0; tries < ENTRIES; tries++) {
-		entry = (first + tries) % ENTRIES + 1;
+	for (attempt = 0; attempt < ENTRIES; attempt++) {
+		entry = (first + attempt) % ENTRIES + 1;
 		print_entry_url(worker->session, entry, url);
 		strcat(url, "/health");
 		if (cluster_http_request(
@@ -390,6 +395,7 @@
 	return first % ENTRIES + 1;
 }
 
+/* The buffer has 64 bytes at least. */
 static void
 print_entry_url(struct session *session, unsigned entry, char *url)
 {
@@ -399,23 +405,26 @@
 	cluster_print_url(&session->cluster, name, url, 64);
 }
 
-/* Cut off: no whole answer though every stop was planned. Hung: too late. */
+/*
+ * Counts requests that were cut off (no complete answer, though all faults were
+ * planned stops) or hung (not answered in time by an entry that runs).
+ */
 static void
 count_broken_request(
-    struct session *session, unsigned entry, uint64_t begun_ns, int status)
+    struct session *session, unsigned entry, uint64_t started_ns, int status)
 {
-	uint64_t passed_ns = kwb_clock_now_ns() - begun_ns;
+	uint64_t elapsed_ns = kwb_clock_now_ns() - started_ns;
 
 	pthread_mutex_lock(&session->lock);
 	if (status == 0 && session->is_planned)
 		session->cut_off_requests++;
-	if (passed_ns >= (CALL_TIMEOUT_MS + CLIENT_SLACK_MS) * KWB_MS_NS &&
+	if (elapsed_ns >= (CALL_TIMEOUT_MS + CLIENT_SLACK_MS) * KWB_MS_NS &&
 	    entry != session->frozen_entry)
 		session->hung_requests++;
 	pthread_mutex_unlock(&session->lock);
 }
 
-/* Publishes the trainer's newest weights, again until the store has them. */
+/* Publishes the trainer's newest weights; callers repeat it until stored. */
 static void
 publish_newest(struct session *session, uint64_t *published)
 {
@@ -429,7 +438,7 @@
 		*published = newest;
 }
 
-/* Watches what the upstreams run, and the revisions that entries are at. */
+/* Publishes weights and monitors running requests and list revisions. */
 static void *
 run_monitor(void *argument)
 {
@@ -447,11 +456,15 @@
 	return NULL;
 }
 
-/* A round that took long is not one moment, and is left out. */
+/*
+ * Checks that the upstreams together run no more of a plan than its allowance.
+ * They are read one after the other: a round longer than MONITOR_ROUND_MAX_NS
+ * doesn't show one moment and is left out.
+ */
 static void
 check_running_requests(struct session *session)
 {
-	uint64_t begun_ns = kwb_clock_now_ns();
+	uint64_t started_ns = kwb_clock_now_ns();
 	json_int_t quotes = 0, search = 0, orders = 0;
 	char url[160], name[CLUSTER_NAME_MAX_BYTES];
 	json_t *root, *models;
@@ -459,12 +472,12 @@
 	unsigned i;
 
 	for (i = 1; i <= ENGINES + SERVICES; i++) {
-		bool engine = i <= ENGINES;
+		bool is_engine = i <= ENGINES;
 
-		snprintf(
-		    name, sizeof(name), engine ? "engine-%u" : "service-%u", i);
+		snprintf(name, sizeof(name),
+		    is_engine ? "engine-%u" : "service-%u", i);
 		cluster_print_url(&session->cluster, name, url, 64);
-		strcat(url, engine ? "/load" : "/health");
+		strcat(url, is_engine ? "/load" : "/health");
 		kwb_buf_init(&text);
 		cluster_http_request("GET", url, NULL, NULL, &text, NULL, 200);
 		root = json_loads(kwb_buf_text(&text), 0, NULL);
@@ -473,13 +486,13 @@
 		    json_object_get(json_object_get(models, "m"), "running"));
 		search += json_integer_value(
 		    json_object_get(json_object_get(models, "c"), "running"));
-		if (!engine)
+		if (!is_engine)
 			orders += json_integer_value(
 			    json_object_get(root, "running"));
 		json_decref(root);
 		kwb_buf_finish(&text);
 	}
-	if (kwb_clock_now_ns() - begun_ns > MONITOR_ROUND_MAX_NS)
+	if (kwb_clock_now_ns() - started_ns > MONITOR_ROUND_MAX_NS)
 		return;
 	if (quotes > QUOTES_UNITS || search > SEARCH_UNITS ||
 	    orders > ORDERS_UNITS) {
@@ -489,7 +502,10 @@
 	}
 }
 
-/* A revision of 0 is an entry that has none yet and decides nothing. */
+/*
+ * Checks that no entry goes back to an older revision of the lists. Revision 0
+ * means that an entry has no lists yet; it admits nothing then.
+ */
 static void
 check_revisions(struct session *session, uint64_t *seen)
 {
@@ -515,7 +531,7 @@
 	}
 }
 
-/* An operator who changes something every second or so. */
+/* Edits an allowance every 700 ms, as an operator would. */
 static void *
 run_operator(void *argument)
 {
@@ -536,40 +552,41 @@
 	return NULL;
 }
 
-/* After healing, a change is in force everywhere within the bound. */
+/* After healing, a change must be in force everywhere in IN_FORCE_MAX_MS. */
 static void
 verify_change_in_force(struct session *session)
 {
 	char wait[16];
-	/* Not the entry that the other operator still edits: that conflicts. */
+	/* Not the plan that run_operator still edits: edits would conflict. */
 	const char *arguments[] = {
 	    "--wait-ms", wait, "edit", "allowance", "quotes", "queue=99", NULL};
-	uint64_t begun_ns = kwb_clock_now_ns();
+	uint64_t started_ns = kwb_clock_now_ns();
 	int code;
 
 	snprintf(wait, sizeof(wait), "%u", IN_FORCE_MAX_MS);
 	code = cluster_run_kwbctl(&session->cluster, arguments, "/dev/null");
 	if (code != 0)
 		session_fail(session,
-		    "a change not in force after %u ms: kwbctl says %d",
-		    (unsigned)((kwb_clock_now_ns() - begun_ns) / KWB_MS_NS),
+		    "a change is not in force after %u ms: kwbctl exits %d",
+		    (unsigned)((kwb_clock_now_ns() - started_ns) / KWB_MS_NS),
 		    code);
 }
 
+/* Turns the results of the whole session into failures. */
 static void
 verify_session(struct session *session)
 {
 	if (session->complete_steps == 0 || session->incomplete_steps > 0)
-		session_fail(session, "%u steps whole, %u not",
+		session_fail(session, "%u steps complete, %u not",
 		    session->complete_steps, session->incomplete_steps);
 	if (session->duplicate_samples > 0)
-		session_fail(
-		    session, "%u samples doubled", session->duplicate_samples);
+		session_fail(session, "%u samples delivered twice",
+		    session->duplicate_samples);
 	if (session->wrong_samples > 0)
-		session_fail(
-		    session, "%u samples not as made", session->wrong_samples);
+		session_fail(session, "%u samples with wrong content",
+		    session->wrong_samples);
 	if (session->stale_samples > 0)
-		session_fail(session, "%u samples over the bound",
+		session_fail(session, "%u samples over the staleness bound",
 		    session->stale_samples);
 	if (session->answers == 0 || session->wrong_answers > 0)
 		session_fail(session, "%u answers, %u wrong", session->answers,
@@ -581,21 +598,22 @@
 		session_fail(
 		    session, "%u requests cut off", session->cut_off_requests);
 	if (session->rounds_over_allowance > 0)
-		session_fail(session, "over the allowance in %u rounds",
+		session_fail(session, "more running than allowed in %u rounds",
 		    session->rounds_over_allowance);
 	if (session->revision_decreases > 0)
-		session_fail(session, "the lists reverted %u times",
+		session_fail(session,
+		    "an entry went back to older lists %u times",
 		    session->revision_decreases);
 	verify_order_outcomes(session);
 }
 
-/* Each order against the services' own journals. */
+/* Compares the outcome of each order with the journals of the services. */
 static void
 verify_order_outcomes(struct session *session)
 {
 	struct kwb_buf journal;
 	char url[160], name[CLUSTER_NAME_MAX_BYTES];
-	unsigned i, ran = 0, lost = 0, false_not_run = 0, doubled = 0;
+	unsigned i, ran = 0, lost = 0, ran_though_not_run = 0, doubled = 0;
 
 	kwb_buf_init(&journal);
 	for (i = 1; i <= SERVICES; i++) {
@@ -617,23 +635,27 @@
 		ran += record->outcome == ORDER_RAN;
 		doubled += times > 1;
 		lost += record->outcome == ORDER_RAN && times == 0;
-		false_not_run += record->outcome == ORDER_NOT_RUN && times > 0;
+		ran_though_not_run +=
+		    record->outcome == ORDER_NOT_RUN && times > 0;
 	}
 	if (ran == 0)
 		session_fail(
-		    session, "no order ran of %u", session->orders_count);
+		    session, "none of %u orders ran", session->orders_count);
 	if (doubled > 0)
 		session_fail(session, "%u orders ran twice", doubled);
 	if (lost > 0)
 		session_fail(
-		    session, "%u orders said to have run had not", lost);
-	if (false_not_run > 0)
-		session_fail(session, "%u orders said not to have run had",
-		    false_not_run);
+		    session, "%u orders reported as run did not run", lost);
+	if (ran_though_not_run > 0)
+		session_fail(session, "%u orders reported as not run did run",
+		    ran_though_not_run);
 	kwb_buf_finish(&journal);
 }
 
-/* Requests begun at the upstream that leaves; -1 when none does. */
+/*
+ * Returns how many requests the leaving upstream has started so far, or -1 when
+ * the fault makes none leave.
+ */
 static int64_t
 leaving_upstream_requests(
     struct session *session, const struct fault *fault, unsigned index)
--- a/tests/session_faults.c
+++ b/tests/session_faults.c
@@ -1,5 +1,6 @@
 /*
- * The table of faults. A target is picked by an index from the seed.
+ * The faults of fault sessions. Each has a function that injects it and one
+ * that heals it; the index, made from the seed, selects the target process.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -11,20 +12,21 @@
 #define ENGINES 3
 #define SERVICES 2
 #define DURATION_MS 4500
-#define FREEZE_DURATION_MS 8000 /* past every lease and silence deadline */
-#define LOST_VM_DURATION_MS                                                    \
-	17000 /* past the time that a lost VM keeps its share */
-#define TAKE_OVER_MAX_MS                                                       \
-	1000 /* for the take-over itself, once its time is over */
-#define VM_LIST_READ_NS                                                        \
-	(5000 * KWB_MS_NS) /* past two looks at the list of VMs */
-#define OUTAGE_END_STEP_NS                                                     \
-	(500 * KWB_MS_NS) /* a quarter of KWB_SHARE_POLL_NS */
+/* Past every lease and every deadline for a silent peer. */
+#define FREEZE_DURATION_MS 8000
+/* Past the time for which a lost VM keeps its share. */
+#define LOST_VM_DURATION_MS 17000
+/* For taking a lost VM's share over, once its time is up. */
+#define TAKE_OVER_MAX_MS 1000
+/* Past two polls of the VM list. */
+#define VM_LIST_READ_NS (5000 * KWB_MS_NS)
+/* A quarter of KWB_SHARE_POLL_NS. */
+#define OUTAGE_END_STEP_NS (500 * KWB_MS_NS)
 #define PLATFORM_DELAY_MS 1200
-#define ORDERS_START_NS                                                        \
-	(500 * KWB_MS_NS) /* each caller has an order running                  \
-			   */
+/* After this each order client has an order running. */
+#define ORDERS_START_NS (500 * KWB_MS_NS)
 
+/* What a fault hits: a daemon's process or a fake upstream. */
 enum target_kind {
 	TARGET_ENTRY,
 	TARGET_LLM_AGENT,
@@ -53,6 +55,7 @@
 	return name;
 }
 
+/* Kills the process; starts it again. */
 #define DEFINE_KILL_FAULT(fault, kind)                                         \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -69,24 +72,29 @@
 		    &session->cluster, target(kind, index, name));             \
 	}
 
-#define DEFINE_SIGNAL_FAULT(fault, kind, first, second)                        \
+/* Sends the first signal; sends the second to heal. */
+#define DEFINE_SIGNAL_FAULT(fault, kind, inject_signal, heal_signal)           \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
 		if (kind == TARGET_ENTRY)                                      \
 			session->frozen_entry = index % ENTRIES + 1;           \
-		cluster_signal_process(                                        \
-		    &session->cluster, target(kind, index, name), first);      \
+		cluster_signal_process(&session->cluster,                      \
+		    target(kind, index, name), inject_signal);                 \
 	}                                                                      \
 	static void fault##_heal(struct session *session, unsigned index)      \
 	{                                                                      \
 		char name[CLUSTER_NAME_MAX_BYTES];                             \
                                                                                \
-		cluster_signal_process(                                        \
-		    &session->cluster, target(kind, index, name), second);     \
+		cluster_signal_process(&session->cluster,                      \
+		    target(kind, index, name), heal_signal);                   \
 	}
 
+/*
+ * Sets a control of the relay in front of the target; resets it to 0. "silent"
+ * needs no reset: it affects only the connections open when it is set.
+ */
 #define DEFINE_RELAY_FAULT(fault, kind, control, value)                        \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -109,6 +117,7 @@
 			    &session->cluster, relay, control, 0);             \
 	}
 
+/* Sets a control of a fake upstream; resets it to 0. */
 #define DEFINE_CONTROL_FAULT(fault, kind, control, value)                      \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -125,6 +134,7 @@
 		    &session->cluster, target(kind, index, name), control, 0); \
 	}
 
+/* Sets a control of the fake platform; resets it to 0. */
 #define DEFINE_PLATFORM_FAULT(fault, control, value)                           \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -142,7 +152,7 @@
 		session->vms_readable_since_ns = kwb_clock_now_ns();           \
 	}
 
-/* A planned stop: the signal, the end by itself with code 0, a new start. */
+/* A planned stop: SIGTERM, a wait for exit code 0 and a new start. */
 #define DEFINE_PLANNED_STOP(fault, kind)                                       \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -201,7 +211,10 @@
 	cut_platform_inject(session, index);
 }
 
-/* An entry cut from the store hears of a change all the same, in time. */
+/*
+ * An entry that is cut off from the store must still learn of a change in time,
+ * over its links to agents.
+ */
 static void
 cut_store_heal(struct session *session, unsigned index)
 {
@@ -212,7 +225,8 @@
 
 	if (code != 0)
 		session_fail(session,
-		    "a change not in force at an entry cut off: kwbctl says %d",
+		    "a change is not in force at a cut-off entry: kwbctl exits "
+		    "%d",
 		    code);
 	cut_platform_heal(session, index);
 }
@@ -240,7 +254,7 @@
 	cluster_publish_vms(&session->cluster);
 }
 
-/* Agent and engine are gone; the list still has the VM as live. */
+/* Agent and engine are killed while the VM list still has the VM as live. */
 static void
 gone_listed_inject(struct session *session, unsigned index)
 {
@@ -262,7 +276,10 @@
 		session_fail(session, "a lost VM's share was not taken over");
 }
 
-/* A VM is lost for good: its part of each allowance goes to the others. */
+/*
+ * A VM is lost for good: agent and engine are killed and it leaves the VM list.
+ * The other agents must take over its part of each allowance.
+ */
 static void
 vm_lost_inject(struct session *session, unsigned index)
 {
@@ -278,7 +295,7 @@
 	uint64_t due_ns = session->vms_readable_since_ns +
 	    (LOST_VM_DURATION_MS + TAKE_OVER_MAX_MS) * KWB_MS_NS;
 
-	/* Nobody can write a share while the platform is out. */
+	/* No agent can write its share while the platform is down. */
 	if (!session->is_platform_faulty)
 		verify_share_taken_over(
 		    session, (uint32_t)kwb_clock_left_ms(due_ns));
@@ -288,8 +305,10 @@
 }
 
 /*
- * Seen as gone, then the platform is out until long after its time is over.
- * Seeds spread the end of the outage over the agents' looks at the table.
+ * The agents see that a VM is lost; then the platform is down until long after
+ * the time for which the VM keeps its share. The share must be taken over as
+ * soon as the platform is back. The index shifts the outage so that it ends at
+ * different points of the agents' polls of the table.
  */
 static void
 vm_lost_then_outage_inject(struct session *session, unsigned index)
@@ -307,7 +326,8 @@
 	vm_lost_heal(session, index);
 }
 
-/* An entry starts while the platform is out and learns from its peers. */
+/* An entry starts while the platform is down; it learns the lists from peers.
+ */
 static void
 start_in_outage_inject(struct session *session, unsigned index)
 {
@@ -317,8 +337,9 @@
 }
 
 /*
- * An entry dies while orders run, and the one started in its place learns from
- * nobody: the platform is out and the links to all agents are cut.
+ * An entry is killed while orders run, and the one started in its place can't
+ * learn the lists: the platform is down and the links to all agents are cut.
+ * It must not report an order as not run that its predecessor sent.
  */
 static void
 start_alone_inject(struct session *session, unsigned index)
@@ -351,7 +372,7 @@
 	table_down_heal(session, index);
 }
 
-/* Two operators change different entries at the same time, many times. */
+/* Two operators edit different allowances in turn, without waiting. */
 static void
 operators_race_inject(struct session *session, unsigned index)
 {
@@ -359,21 +380,26 @@
 
 	(void)index;
 	for (i = 0; i < 5; i++) {
-		char first[32], second[32];
-		const char *one[] = {"--wait-ms", "0", "edit", "allowance",
-		    "quotes", first, NULL};
-		const char *other[] = {"--wait-ms", "0", "edit", "allowance",
-		    "orders", second, NULL};
-
-		snprintf(first, sizeof(first), "queue=%u", 200 + i);
-		snprintf(second, sizeof(second), "queue=%u", 300 + i);
-		if (cluster_run_kwbctl(&session->cluster, one, "/dev/null") %
+		char quotes_field[32], orders_field[32];
+		const char *quotes_edit[] = {"--wait-ms", "0", "edit",
+		    "allowance", "quotes", quotes_field, NULL};
+		const char *orders_edit[] = {"--wait-ms", "0", "edit",
+		    "allowance", "orders", orders_field, NULL};
+
+		snprintf(
+		    quotes_field, sizeof(quotes_field), "queue=%u", 200 + i);
+		snprintf(
+		    orders_field, sizeof(orders_field), "queue=%u", 300 + i);
+		if (cluster_run_kwbctl(
+			&session->cluster, quotes_edit, "/dev/null") %
 			    6 !=
 			0 ||
-		    cluster_run_kwbctl(&session->cluster, other, "/dev/null") %
+		    cluster_run_kwbctl(
+			&session->cluster, orders_edit, "/dev/null") %
 			    6 !=
 			0)
-			session_fail(session, "an edit of another entry lost");
+			session_fail(session,
+			    "an edit of another allowance was refused");
 	}
 }
 
@@ -384,9 +410,9 @@
 	(void)index;
 }
 
-#define FAULT(name, hold)                                                      \
+#define FAULT(name, duration)                                                  \
 	{                                                                      \
-#name, name##_inject, name##_heal, hold, false, NULL           \
+#name, name##_inject, name##_heal, duration, false, NULL       \
 	}
 
 const struct fault session_faults[] = {
--- a/tests/world.c
+++ b/tests/world.c
@@ -1,5 +1,5 @@
 /*
- * A small deployment on loopback for tests and measurements.
+ * Test cluster on loopback, for tests and benchmarks.
  */
 #include <fcntl.h>
 #include <signal.h>
@@ -15,6 +15,7 @@
 
 #include "world.h"
 
+/* Ports, counted from the base port of the cluster. */
 #define PLATFORM_PORT_OFFSET 0
 #define ENTRY_PORT_OFFSET 4
 #define AGENT_PORT_OFFSET 16
@@ -22,13 +23,14 @@
 #define RELAY_PORT_OFFSET 96
 #define RELAY_CONTROL_PORT_OFFSET 148
 #define METRICS_PORT_OFFSET 200
+/* Relays before agents come first; from here on they are behind entries. */
 #define ENTRY_RELAY_FIRST_INDEX 40
-#define PLATFORM_START_MAX_MS 10000 /* of a process, on a busy machine */
+#define PLATFORM_START_MAX_MS 10000 /* allows for a busy machine */
 #define SETTLE_MAX_MS 20000
 #define BUILD_DIRECTORY_VARIABLE "KWB_BUILD"
 
 static struct cluster_process *add_process(struct cluster *cluster,
-    const char *name, const char *program, unsigned control);
+    const char *name, const char *program, unsigned port_offset);
 static void add_arguments(struct cluster_process *process, const char *format,
     ...) __attribute__((format(printf, 2, 3)));
 static void add_upstream(
@@ -36,15 +38,15 @@
 static void add_agent(struct cluster *cluster, unsigned index, bool is_engine);
 static void add_entry(struct cluster *cluster, unsigned index);
 static void add_relay(struct cluster *cluster, const char *name,
-    unsigned relay_index, unsigned target);
+    unsigned relay_index, unsigned target_port_offset);
 static const char *print_failure_domain(
     const struct cluster *cluster, unsigned index, char *text);
 static void write_file(
     const struct cluster *cluster, const char *name, const char *text);
 static bool wait_for_platform(struct cluster *cluster);
-static bool are_units_settled(struct cluster *cluster, json_t *wanted);
+static bool are_units_settled(struct cluster *cluster, json_t *expected_units);
 static bool are_allowances_balanced(
-    const struct cluster *cluster, json_t *agents, json_t *wanted);
+    const struct cluster *cluster, json_t *agents, json_t *expected_units);
 static bool is_running(const struct cluster *cluster, const char *name);
 static pid_t spawn_process(const struct cluster *cluster,
     const struct cluster_process *process, const char *output);
@@ -84,7 +86,7 @@
 	return cluster_wait_settled(cluster, SETTLE_MAX_MS) ? 0 : -1;
 }
 
-/* What is told to a platform that does not listen yet is lost. */
+/* Requests sent before the platform listens would be lost. */
 static bool
 wait_for_platform(struct cluster *cluster)
 {
@@ -186,7 +188,7 @@
 	int64_t old;
 
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/control?%s=%lld",
-	    cluster_find_process(cluster, name)->control_port, control,
+	    cluster_find_process(cluster, name)->port, control,
 	    (long long)value);
 	kwb_buf_init(&answer);
 	cluster_http_request("POST", url, NULL, "", &answer, NULL, 2000);
@@ -204,7 +206,7 @@
 	int64_t value = -1;
 
 	snprintf(url, sizeof(url), "http://127.0.0.1:%u/control?%s",
-	    cluster_find_process(cluster, name)->control_port, control);
+	    cluster_find_process(cluster, name)->port, control);
 	kwb_buf_init(&answer);
 	if (cluster_http_request("GET", url, NULL, NULL, &answer, NULL, 1000) ==
 	    200)
@@ -213,39 +215,38 @@
 	return value;
 }
 
-/* Publishes the VM list; a process with an empty state is not in it. */
 void
 cluster_publish_vms(struct cluster *cluster)
 {
 	struct kwb_buf text;
 	char url[128], domain[16];
-	unsigned i, port, number, listed = 0;
+	unsigned i, port, number, listed_count = 0;
 	const char *role, *pool;
 
 	kwb_buf_init(&text);
 	kwb_buf_printf(&text, "[");
 	for (i = 0; i < cluster->processes_count; i++) {
 		const struct cluster_process *process = &cluster->processes[i];
-		bool entry = strncmp(process->name, "entry-", 6) == 0;
-		bool llm = strncmp(process->name, "llm-", 4) == 0;
+		bool is_entry = strncmp(process->name, "entry-", 6) == 0;
+		bool is_llm = strncmp(process->name, "llm-", 4) == 0;
 
-		if ((!entry && !llm &&
+		if ((!is_entry && !is_llm &&
 			strncmp(process->name, "shop-", 5) != 0) ||
 		    process->state[0] == '\0')
 			continue;
 		number = (unsigned)atoi(strchr(process->name, '-') + 1) - 1;
 		port = cluster->base_port +
-		    (entry			       ? ENTRY_PORT_OFFSET
+		    (is_entry			       ? ENTRY_PORT_OFFSET
 			    : cluster->spec.has_relays ? RELAY_PORT_OFFSET
 						       : AGENT_PORT_OFFSET) +
 		    number;
-		role = entry ? "entry" : "agent";
-		pool = entry ? "" : llm ? "llm" : "shop";
+		role = is_entry ? "entry" : "agent";
+		pool = is_entry ? "" : is_llm ? "llm" : "shop";
 		kwb_buf_printf(&text,
 		    "%s{\"vm\":\"%s\",\"role\":\"%s\",\"pool\":\"%s\","
 		    "\"address\":\"127.0.0.1:%u\",\"failure_domain\":\"%s\","
 		    "\"state\":\"%s\"}",
-		    listed++ ? "," : "", process->name, role, pool, port,
+		    listed_count++ ? "," : "", process->name, role, pool, port,
 		    print_failure_domain(cluster, number, domain),
 		    process->state);
 	}
@@ -298,7 +299,6 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-/* Waits until the agents hold the whole allowance of each plan. */
 bool
 cluster_wait_settled(struct cluster *cluster, uint32_t timeout_ms)
 {
@@ -306,8 +306,8 @@
 	struct kwb_lists_source source = {"lists", cluster->spec.lists};
 	struct kwb_faults faults = {0};
 	struct kwb_lists *lists;
-	json_t *wanted = json_object();
-	bool settled = false;
+	json_t *expected_units = json_object();
+	bool is_settled = false;
 	uint32_t i;
 
 	if (kwb_lists_parse(&lists, &source, &faults) != 0) {
@@ -315,16 +315,16 @@
 		return false;
 	}
 	for (i = 0; i < lists->allowances_count; i++)
-		json_object_set_new(wanted, lists->allowances[i].plan,
+		json_object_set_new(expected_units, lists->allowances[i].plan,
 		    json_integer(lists->allowances[i].concurrent));
 	kwb_lists_free(lists);
-	while (!settled && kwb_clock_now_ns() < deadline_ns) {
-		settled = are_units_settled(cluster, wanted);
-		if (!settled)
+	while (!is_settled && kwb_clock_now_ns() < deadline_ns) {
+		is_settled = are_units_settled(cluster, expected_units);
+		if (!is_settled)
 			kwb_clock_sleep_ns(100 * KWB_MS_NS);
 	}
-	json_decref(wanted);
-	return settled;
+	json_decref(expected_units);
+	return is_settled;
 }
 
 void
@@ -332,21 +332,24 @@
     struct cluster *cluster, const char *name, char *url, size_t capacity_bytes)
 {
 	snprintf(url, capacity_bytes, "http://127.0.0.1:%u",
-	    cluster_find_process(cluster, name)->control_port);
+	    cluster_find_process(cluster, name)->port);
 }
 
 void
 cluster_print_metrics_url(
     struct cluster *cluster, const char *name, char *url, size_t capacity_bytes)
 {
-	unsigned port = cluster_find_process(cluster, name)->control_port;
+	unsigned port = cluster_find_process(cluster, name)->port;
 
 	if (strncmp(name, "entry-", 6) != 0)
 		port += METRICS_PORT_OFFSET - AGENT_PORT_OFFSET;
 	snprintf(url, capacity_bytes, "http://127.0.0.1:%u/metrics", port);
 }
 
-/* A client of its own, so that it shares no state with the one under test. */
+/*
+ * Where the response to cluster_http_request goes. The test client uses libcurl
+ * so that it shares no state with the HTTP client under test.
+ */
 struct answer_sink {
 	struct kwb_buf *body;
 	char *outcome;
@@ -408,38 +411,39 @@
 
 static struct cluster_process *
 add_process(struct cluster *cluster, const char *name, const char *program,
-    unsigned control)
+    unsigned port_offset)
 {
 	struct cluster_process *process =
 	    &cluster->processes[cluster->processes_count++];
 
 	kwb_text_copy(process->name, sizeof(process->name), name);
-	process->control_port = (uint16_t)(cluster->base_port + control);
+	process->port = (uint16_t)(cluster->base_port + port_offset);
 	strcpy(process->state, "live");
 	add_arguments(process, "%s", program);
 	return process;
 }
 
-/* Adds arguments, one a line of the text. */
+/* Adds command-line arguments; newlines separate them in the text. */
 static void
 add_arguments(struct cluster_process *process, const char *format, ...)
 {
-	char text[1024], *rest = text, *one;
+	char text[1024], *remaining = text, *argument;
 	va_list args;
 
 	va_start(args, format);
 	vsnprintf(text, sizeof(text), format, args);
 	va_end(args);
-	while ((one = strsep(&rest, "\n")) != NULL)
+	while ((argument = strsep(&remaining, "\n")) != NULL)
 		kwb_text_copy(process->arguments[process->arguments_count++],
-		    sizeof(process->arguments[0]), one);
+		    sizeof(process->arguments[0]), argument);
 }
 
 static void
 add_upstream(struct cluster *cluster, unsigned index, bool is_engine)
 {
 	unsigned port = UPSTREAM_PORT_OFFSET + index;
-	char name[CLUSTER_NAME_MAX_BYTES], extra[512], *rest = extra, *one;
+	char name[CLUSTER_NAME_MAX_BYTES], engine_args[512],
+	    *remaining = engine_args, *argument;
 	struct cluster_process *process;
 
 	snprintf(name, sizeof(name), is_engine ? "engine-%u" : "service-%u",
@@ -455,11 +459,11 @@
 	    "%u",
 	    cluster->spec.models, cluster->base_port + PLATFORM_PORT_OFFSET,
 	    cluster->spec.slots);
-	kwb_text_copy(extra, sizeof(extra),
+	kwb_text_copy(engine_args, sizeof(engine_args),
 	    cluster->spec.engine_args ? cluster->spec.engine_args : "");
-	while ((one = strsep(&rest, " ")) != NULL)
-		if (*one != '\0')
-			add_arguments(process, "%s", one);
+	while ((argument = strsep(&remaining, " ")) != NULL)
+		if (*argument != '\0')
+			add_arguments(process, "%s", argument);
 }
 
 static void
@@ -540,14 +544,14 @@
 
 static void
 add_relay(struct cluster *cluster, const char *name, unsigned relay_index,
-    unsigned target)
+    unsigned target_port_offset)
 {
 	add_arguments(add_process(cluster, name, "fake-relay",
 			  RELAY_CONTROL_PORT_OFFSET + relay_index),
 	    "--relay\n127.0.0.1:%u\n--target\n127.0.0.1:%u\n"
 	    "--listen\n127.0.0.1:%u",
 	    cluster->base_port + RELAY_PORT_OFFSET + relay_index,
-	    cluster->base_port + target,
+	    cluster->base_port + target_port_offset,
 	    cluster->base_port + RELAY_CONTROL_PORT_OFFSET + relay_index);
 }
 
@@ -570,15 +574,15 @@
 	fclose(file);
 }
 
-/* Whether each entry sees every plan's allowance held, in equal parts. */
+/* Whether every running entry sees all allowances held, in equal parts. */
 static bool
-are_units_settled(struct cluster *cluster, json_t *wanted)
+are_units_settled(struct cluster *cluster, json_t *expected_units)
 {
 	char url[128], name[CLUSTER_NAME_MAX_BYTES];
 	struct kwb_buf text;
 	json_t *status;
 	unsigned entry;
-	bool settled = true;
+	bool is_settled = true;
 
 	for (entry = 1; entry <= cluster->spec.entries; entry++) {
 		snprintf(name, sizeof(name), "entry-%u", entry);
@@ -590,25 +594,29 @@
 		cluster_http_request("GET", url, NULL, NULL, &text, NULL, 1000);
 		status = json_loads(kwb_buf_text(&text), 0, NULL);
 		kwb_buf_finish(&text);
-		if (!are_allowances_balanced(
-			cluster, json_object_get(status, "agents"), wanted))
-			settled = false;
+		if (!are_allowances_balanced(cluster,
+			json_object_get(status, "agents"), expected_units))
+			is_settled = false;
 		json_decref(status);
 	}
-	return settled;
+	return is_settled;
 }
 
-/* What an entry last heard of an agent that was killed is held by nobody. */
+/*
+ * Whether the agents hold each plan's whole allowance and none holds more than
+ * an equal part, rounded up. An entry still reports the last units of an agent
+ * that was killed; these are not counted.
+ */
 static bool
 are_allowances_balanced(
-    const struct cluster *cluster, json_t *agents, json_t *wanted)
+    const struct cluster *cluster, json_t *agents, json_t *expected_units)
 {
 	json_t *agent, *allowance;
 	const char *plan, *vm;
 	size_t i;
 
-	json_object_foreach (wanted, plan, allowance) {
-		json_int_t sum = 0, most = 0, holders = 0, units;
+	json_object_foreach (expected_units, plan, allowance) {
+		json_int_t sum = 0, units_max = 0, holders_count = 0, units;
 
 		json_array_foreach (agents, i, agent) {
 			vm = json_string_value(json_object_get(agent, "vm"));
@@ -617,12 +625,12 @@
 			units = json_integer_value(json_object_get(
 			    json_object_get(agent, "units"), plan));
 			sum += units;
-			holders += units > 0;
-			if (units > most)
-				most = units;
+			holders_count += units > 0;
+			if (units > units_max)
+				units_max = units;
 		}
 		if (sum != json_integer_value(allowance) ||
-		    most > (sum + holders - 1) / holders)
+		    units_max > (sum + holders_count - 1) / holders_count)
 			return false;
 	}
 	return true;
