--- a/tests/contract.c
+++ b/tests/contract.c
@@ -1,7 +1,8 @@
 /*
- * Contract of the inner protocol: a bare client speaks to a real agent, beside
- * an engine that ignores fencing tokens and a service that counts. Cases stand
- * in a table; each sends one frame and names the answer it must get.
+ * Contract tests of the protocol between entries and agents: a client without
+ * any logic of an entry sends frames to real agents. The fake engine ignores
+ * fencing tokens, so that only the agent can refuse old ones; the fake service
+ * counts its calls. Each case of a table sends one frame and checks the answer.
  */
 #include <arpa/inet.h>
 #include <signal.h>
@@ -27,13 +28,13 @@
     "  - {plan: quotes, concurrent: 4, queue: 4}\n"
     "  - {plan: orders, concurrent: 2, queue: 4}\n";
 
-/* A connection to an agent and what its hello said. */
+/* A connection to an agent, and what the agent's hello said. */
 struct client {
-	int fd;
+	int fd; /* -1 once the agent has closed it */
 	struct kwb_buf in;
 	uint64_t incarnation;
-	uint64_t revision;
-	uint32_t last_outcome; /* outcome of the last answer passed over */
+	uint64_t revision;     /* of the agent's lists */
+	uint32_t last_outcome; /* of the last Done frame that was skipped */
 };
 
 static unsigned passed, failed;
@@ -70,8 +71,8 @@
 	kwb_log_init("contract", KWB_LOG_ERROR);
 	kwb_http_init();
 	signal(SIGPIPE, SIG_IGN);
-	check(cluster_start(&world, &spec, BASE_PORT) == 0, "the world starts",
-	    "");
+	check(cluster_start(&world, &spec, BASE_PORT) == 0,
+	    "the cluster starts", "");
 	check_calls(&world);
 	check_weight_orders(&world);
 	check_attempt_fencing();
@@ -84,26 +85,30 @@
 	return failed > 0;
 }
 
-/* Plain calls: what is refused, what is barred, what is replayed. */
+/*
+ * Calls: one key runs once and its answer is replayed; a query for an unknown
+ * key bars that key for good; stale lists, an earlier incarnation and a key
+ * older than the journal's retention are refused.
+ */
 static void
 check_calls(struct cluster *cluster)
 {
 	static const struct {
 		const char *name;
 		const char *key;
-		bool query; /* a query in place of a run */
-		int revision_behind;
-		int incarnation_off;
-		uint64_t minted_before_ms;
+		bool is_query;		   /* sends a Query, otherwise a Run */
+		int revision_behind;	   /* older lists than the agent's */
+		int incarnation_behind;	   /* an earlier incarnation */
+		uint64_t minted_before_ms; /* age of the key */
 		enum kwb_outcome outcome;
 		int error;
 	} cases[] = {
 	    {"a call runs", "k1", false, 0, 0, 0, KWB_OUTCOME_RAN, 0},
-	    {"its key again is replayed", "k1", false, 0, 0, 0, KWB_OUTCOME_RAN,
+	    {"the same key is replayed", "k1", false, 0, 0, 0, KWB_OUTCOME_RAN,
 		0},
-	    {"a query of it is replayed", "k1", true, 0, 0, 0, KWB_OUTCOME_RAN,
+	    {"a query for it is replayed", "k1", true, 0, 0, 0, KWB_OUTCOME_RAN,
 		0},
-	    {"a query bars a key not seen", "k2", true, 0, 0, 0,
+	    {"a query bars an unknown key", "k2", true, 0, 0, 0,
 		KWB_OUTCOME_NOT_RUN, KWB_ERR_CALL_BARRED},
 	    {"a barred key never runs", "k2", false, 0, 0, 0,
 		KWB_OUTCOME_NOT_RUN, KWB_ERR_CALL_BARRED},
@@ -111,13 +116,13 @@
 		KWB_ERR_CALL_STALE_LISTS},
 	    {"an earlier incarnation is refused", "k4", false, 0, 1, 0,
 		KWB_OUTCOME_NOT_RUN, KWB_ERR_CALL_INCARNATION},
-	    {"of an earlier incarnation nothing is known", "k5", true, 0, 1, 0,
-		KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_INCARNATION},
-	    {"a key from long ago may have been forgotten", "k6", false, 0, 0,
-		KWB_JOB_RETENTION_MS, KWB_OUTCOME_UNKNOWN,
+	    {"a query for an earlier incarnation has outcome unknown", "k5",
+		true, 0, 1, 0, KWB_OUTCOME_UNKNOWN, KWB_ERR_CALL_INCARNATION},
+	    {"a key older than the retention has outcome unknown", "k6", false,
+		0, 0, KWB_JOB_RETENTION_MS, KWB_OUTCOME_UNKNOWN,
 		KWB_ERR_CALL_FORGOTTEN},
-	    {"no key is malformed", "", false, 0, 0, 0, KWB_OUTCOME_NOT_RUN,
-		KWB_ERR_ARGUMENT},
+	    {"a run without a key is refused", "", false, 0, 0, 0,
+		KWB_OUTCOME_NOT_RUN, KWB_ERR_ARGUMENT},
 	};
 	struct client client;
 	size_t i;
@@ -143,11 +148,11 @@
 		run.lists_revision =
 		    client.revision - (uint64_t)cases[i].revision_behind;
 		run.agent_incarnation = query.agent_incarnation =
-		    client.incarnation - (uint64_t)cases[i].incarnation_off;
+		    client.incarnation - (uint64_t)cases[i].incarnation_behind;
 		run.body.data = (uint8_t *)cases[i].key;
 		run.body.len = strlen(cases[i].key);
 		client_send(
-		    &client, cases[i].query ? &query_frame : &run_frame);
+		    &client, cases[i].is_query ? &query_frame : &run_frame);
 		answer = client_wait_frame(&client, KWB__WIRE__FRAME__BODY_DONE,
 		    i + 1, ANSWER_TIMEOUT_MS);
 		snprintf(detail, sizeof(detail), "%s, %s",
@@ -161,10 +166,13 @@
 	}
 	client_close(&client);
 	check(cluster_get_control(cluster, "service-2", "ran") == 1,
-	    "the service ran one call in all", "");
+	    "the service ran exactly one call", "");
 }
 
-/* Weight orders by fencing token, before an engine that ignores tokens. */
+/*
+ * Weight orders with a lower fencing token must be refused by the agent, since
+ * its engine ignores tokens.
+ */
 static void
 check_weight_orders(struct cluster *cluster)
 {
@@ -177,10 +185,10 @@
 	} cases[] = {
 	    {"an order loads a version", 50, 2, 0, 2},
 	    {"a lower token is refused", 49, 3, KWB_ERR_CALL_FENCED, 2},
-	    {"the same token goes on", 50, 3, 0, 3},
+	    {"the same token loads a later version", 50, 3, 0, 3},
 	    {"a version never goes back", 51, 1, 0, 3},
 	    {"a higher token takes over", 60, 4, 0, 4},
-	    {"the former holder is refused", 51, 5, KWB_ERR_CALL_FENCED, 4},
+	    {"the former token is refused", 51, 5, KWB_ERR_CALL_FENCED, 4},
 	};
 	struct client client;
 	size_t i;
@@ -210,8 +218,9 @@
 	}
 	client_close(&client);
 	check(cluster_get_control(cluster, "engine-1", "orders_old") == 0,
-	    "the engine saw no old token", "");
-	/* The highest token is in no memory now: the table has to say. */
+	    "no order with an old token reached the engine", "");
+	/* After a restart the agent knows the highest token from the table
+	 * only. */
 	cluster_kill_process(cluster, "llm-1");
 	cluster_set_control(cluster, "platform", "down", 1);
 	cluster_start_process(cluster, "llm-1");
@@ -232,7 +241,7 @@
 		    KWB__WIRE__FRAME__BODY_ORDER_REPLY, 1, ANSWER_TIMEOUT_MS);
 		check(answer != NULL &&
 			answer->order_reply->error == KWB_ERR_WEIGHTS_UNKNOWN,
-		    "a fresh agent takes no order before it knows the token",
+		    "a restarted agent refuses orders until it knows the token",
 		    "");
 		kwb_frame_free(answer);
 	}
@@ -241,20 +250,20 @@
 	cluster_wait_settled(cluster, 15000);
 }
 
-/* A later attempt of a step fences the earlier one off. */
+/* Once an agent has seen a step's attempt 2, it refuses runs of attempt 1. */
 static void
 check_attempt_fencing(void)
 {
 	static const struct {
 		const char *name;
-		uint32_t find_attempt; /* 0: a run of attempt run_attempt */
-		uint32_t run_attempt;
+		uint32_t find_attempt; /* sends a Find, unless 0 */
+		uint32_t run_attempt;  /* sends a Run otherwise */
 		int error;
 	} cases[] = {
 	    {"attempt 1 starts", 0, 1, 0},
-	    {"attempt 2 is named", 2, 0, 0},
+	    {"attempt 2 is announced", 2, 0, 0},
 	    {"a run of attempt 1 is refused", 0, 1, KWB_ERR_CALL_FENCED},
-	    {"a run of attempt 2 is taken", 0, 2, 0},
+	    {"a run of attempt 2 is accepted", 0, 2, 0},
 	};
 	struct client client;
 	size_t i;
@@ -304,7 +313,10 @@
 	client_close(&client);
 }
 
-/* A stream across a swap ends whole, with a span of each version. */
+/*
+ * A stream that is running while weights are swapped must run to its end and
+ * report a span of tokens for each version.
+ */
 static void
 check_stream_across_swap(void)
 {
@@ -349,25 +361,28 @@
 	}
 	check(client.last_outcome == KWB_OUTCOME_RAN,
 	    "a stream across a swap runs to its end", "");
-	check(first == 4 && last == 20 && tokens > 0, "it names both versions",
-	    "");
+	check(first == 4 && last == 20 && tokens > 0,
+	    "it reports spans of both versions", "");
 	client_close(&client);
 }
 
-/* A silent link is dropped after three beats, at the pace its entry set. */
+/*
+ * An agent closes a link on which nothing comes for three heartbeat periods;
+ * the entry sets the period.
+ */
 static void
 check_silent_links(void)
 {
 	static const struct {
 		const char *name;
 		uint32_t period_ms;
-		uint32_t after_ms;
-		bool open;
+		uint32_t after_ms; /* when to look at the link */
+		bool is_open;
 	} cases[] = {
-	    {"open within three beats", 1000, 2500, true},
-	    {"dropped after them", 1000, 3600, false},
-	    {"open within three slower beats", 1500, 4000, true},
-	    {"dropped after these", 1500, 5100, false},
+	    {"open for three periods of 1000 ms", 1000, 2500, true},
+	    {"closed after three periods of 1000 ms", 1000, 3600, false},
+	    {"open for three periods of 1500 ms", 1500, 4000, true},
+	    {"closed after three periods of 1500 ms", 1500, 5100, false},
 	};
 	size_t i;
 
@@ -382,14 +397,14 @@
 		client_send(&client, &frame);
 		client_wait_frame(
 		    &client, KWB__WIRE__FRAME__BODY_DONE, 1, cases[i].after_ms);
-		check((client.fd >= 0) == cases[i].open, cases[i].name, "");
+		check((client.fd >= 0) == cases[i].is_open, cases[i].name, "");
 		client_close(&client);
 	}
 }
 
 /*
- * A raised allowance gives an agent no more units while the table is out,
- * because others may take the same ones; once it is back they are held.
+ * While the table is down, a raised allowance gives an agent no more units:
+ * other agents might take the same ones. Once it is back, the agent takes them.
  */
 static void
 check_share_in_outage(struct cluster *cluster)
@@ -404,13 +419,13 @@
 	    "  - {plan: orders, concurrent: 9, queue: 4}\n";
 	static const struct {
 		const char *name;
-		int down;
-		uint32_t watch_ms;
+		int is_down;
+		uint32_t watch_ms; /* how long to read heartbeats */
 		uint32_t units_max;
 		uint32_t units_at_end;
 	} cases[] = {
-	    {"an outage keeps what is held", 1, 6000, 2, 2},
-	    {"its end lets more be taken", 0, 6000, 9, 9},
+	    {"the units stay the same in an outage", 1, 6000, 2, 2},
+	    {"the units rise after the outage", 0, 6000, 9, 9},
 	};
 	Kwb__Wire__Lists lists = KWB__WIRE__LISTS__INIT;
 	KWB_FRAME(frame, LISTS, lists, lists);
@@ -425,32 +440,34 @@
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		uint64_t until_ns =
 		    kwb_clock_now_ns() + cases[i].watch_ms * KWB_MS_NS;
-		uint32_t most = 0, last = 0;
-		Kwb__Wire__Frame *beat;
+		uint32_t max = 0, last = 0;
+		Kwb__Wire__Frame *heartbeat;
 		char detail[64];
 
-		cluster_set_control(cluster, "platform", "down", cases[i].down);
+		cluster_set_control(
+		    cluster, "platform", "down", cases[i].is_down);
 		while (kwb_clock_now_ns() < until_ns) {
 			client_send(&client, &frame); /* keeps the link alive */
-			beat = client_wait_frame(
+			heartbeat = client_wait_frame(
 			    &client, KWB__WIRE__FRAME__BODY_HEARTBEAT, 0, 2000);
-			/* Some beats say nothing of the agent's state. */
-			if (beat != NULL && beat->heartbeat->status != NULL)
+			/* Not every heartbeat carries the agent's status. */
+			if (heartbeat != NULL &&
+			    heartbeat->heartbeat->status != NULL)
 				last = units_held(
-				    beat->heartbeat->status, "orders");
-			if (last > most)
-				most = last;
-			kwb_frame_free(beat);
+				    heartbeat->heartbeat->status, "orders");
+			if (last > max)
+				max = last;
+			kwb_frame_free(heartbeat);
 		}
-		snprintf(
-		    detail, sizeof(detail), "most %u, last %u", most, last);
+		snprintf(detail, sizeof(detail), "max %u, last %u", max, last);
 		check(
-		    most <= cases[i].units_max && last == cases[i].units_at_end,
+		    max <= cases[i].units_max && last == cases[i].units_at_end,
 		    cases[i].name, detail);
 	}
 	client_close(&client);
 }
 
+/* Returns how many units of a plan's allowance the agent holds. */
 static uint32_t
 units_held(const Kwb__Wire__Status *status, const char *plan)
 {
@@ -462,7 +479,7 @@
 	return 0;
 }
 
-/* Bytes that are no frame end the link; the agent serves on. */
+/* Malformed frames close the link, and the agent accepts new links after. */
 static void
 check_malformed_frames(void)
 {
@@ -489,11 +506,12 @@
 		client_close(&client);
 	}
 	client_open(&client, LLM_AGENT_PORT_OFFSET);
-	check(client.incarnation != 0, "a new link is greeted after these", "");
+	check(
+	    client.incarnation != 0, "a new link gets a hello after these", "");
 	client_close(&client);
 }
 
-/* Connects, says hello and reads the agent's. */
+/* Connects, sends a hello and waits for the agent's. */
 static void
 client_open(struct client *client, unsigned port)
 {
@@ -542,7 +560,10 @@
 	return sent > 0;
 }
 
-/* The next frame of the kind for the request; others are passed over. */
+/*
+ * Returns the next frame of a kind, skipping others; of Done frames the one for
+ * the request. NULL on timeout or when the agent closes the connection.
+ */
 static Kwb__Wire__Frame *
 client_wait_frame(struct client *client, Kwb__Wire__Frame__BodyCase kind,
     uint64_t request, uint32_t timeout_ms)
@@ -556,11 +577,11 @@
 	setsockopt(client->fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
 	while (kwb_clock_now_ns() < deadline_ns) {
 		while (kwb_frame_unpack(&client->in, &frame) == 1) {
-			bool ours = frame->body_case == kind;
+			bool is_wanted = frame->body_case == kind;
 
-			if (kind == KWB__WIRE__FRAME__BODY_DONE && ours)
-				ours = frame->done->request == request;
-			if (ours)
+			if (kind == KWB__WIRE__FRAME__BODY_DONE && is_wanted)
+				is_wanted = frame->done->request == request;
+			if (is_wanted)
 				return frame;
 			if (frame->body_case == KWB__WIRE__FRAME__BODY_DONE)
 				client->last_outcome = frame->done->outcome;
@@ -578,6 +599,7 @@
 	return NULL;
 }
 
+/* Counts a check; when it failed, prints its name and what was seen instead. */
 static void
 check(bool is_right, const char *name, const char *detail)
 {
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -1,9 +1,9 @@
 /*
- * Fault runner: sessions from a table of faults, alone, in pairs and twice in
- * a row, several at a time.
+ * Runs fault sessions, several in parallel: each fault alone, pairs of faults,
+ * and the same fault at two targets.
  *
  *   faults                       the fixed set that CI runs
- *   faults FAULT [FAULT] [SEED]  one session
+ *   faults FAULT [FAULT] [SEED]  one session; FAULT "none" for load alone
  *   faults --soak N              N sessions of random pairs
  */
 #include <signal.h>
@@ -20,13 +20,14 @@
 #define SESSIONS_MAX 512
 #define KNOWN_FAILURES_FILE "KNOWN-RED.txt"
 
+/* A session to run, as on the command line: one or two faults and a seed. */
 struct session_line {
 	const char *first;
-	const char *second; /* NULL for one alone */
+	const char *second; /* NULL for a single fault */
 	uint64_t seed;
 };
 
-/* Pairs, and the same fault twice in a row at targets of its own. */
+/* Pairs of faults, and the same fault twice, at different targets. */
 static const struct session_line pairs[] = {
     {"kill_entry", "table_down", 11},
     {"kill_llm", "table_down", 12},
@@ -108,6 +109,8 @@
 	return NULL;
 }
 
+/* Runs one session and prints its result. Returns 0, 1 failed, 2 wrong usage.
+ */
 static int
 run_session(const struct session_line *line, uint16_t base_port)
 {
@@ -118,7 +121,7 @@
 
 	line_print(line, text, sizeof(text));
 	if (find_fault(line->first) == NULL && strcmp(line->first, "none")) {
-		fprintf(stderr, "no fault %s\n", line->first);
+		fprintf(stderr, "unknown fault \"%s\"\n", line->first);
 		return 2;
 	}
 	passed = session_run(&session, find_fault(line->first),
@@ -140,7 +143,10 @@
 	return passed ? 0 : 1;
 }
 
-/* Runs several sessions at a time, each in a process with its own ports. */
+/*
+ * Runs PARALLEL_SESSIONS sessions at a time, each in a process and on ports of
+ * its own. Returns 0 when all passed but for known failures, otherwise 1.
+ */
 static int
 run_sessions(const struct session_line *lines, unsigned count)
 {
@@ -183,24 +189,24 @@
 	return failed > 0;
 }
 
-/* Whether the session stands in the list of known faults. */
+/* Whether the session is listed in KNOWN_FAILURES_FILE; prints it then. */
 static bool
 is_known_failure(const struct session_line *line)
 {
 	char wanted[128], text[512];
 	FILE *file = fopen(KNOWN_FAILURES_FILE, "r");
-	bool found = false;
+	bool is_listed = false;
 
 	line_print(line, wanted, sizeof(wanted));
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strstr(text, "build/tests/faults ") != NULL &&
 		    strstr(text, wanted) != NULL)
-			found = true;
+			is_listed = true;
 	if (file != NULL)
 		fclose(file);
-	if (found)
+	if (is_listed)
 		printf("known red: %s\n", wanted);
-	return found;
+	return is_listed;
 }
 
 static void
--- a/tests/golden.c
+++ b/tests/golden.c
@@ -1,14 +1,18 @@
 /*
- * Golden sessions: scripts whose lines are commands with their expected
- * output below. A line that begins with "$ " is a command:
+ * Golden tests: the scripts below tests/scripts hold commands, each with its
+ * expected output below it, and run in a test cluster. A line that begins with
+ * "$ " is a command, one that begins with "#" a comment:
  *
- *   $ ctl ARGUMENT...            kwbctl: exit code, then its output
- *   $ http METHOD WHERE PATH [HEADER|-] [BODY]   status, outcome, body
- *   $ set NAME SWITCH VALUE      sets a stand-in's switch
+ *   $ ctl ARGUMENT...            runs kwbctl: exit code, then its output
+ *   $ http METHOD NAME PATH [HEADER|-] [BODY]   status, outcome, body
  *   $ file NAME                  writes the lines up to "." to a file
- *   $ kill NAME, $ run NAME, $ settle
+ *   $ set NAME CONTROL VALUE     sets a control of a fake
+ *   $ kill NAME                  kills a process of the cluster
+ *   $ run NAME                   starts a process of the cluster
+ *   $ sleep MS                   waits
  *
- * "golden --write" puts the output in place of what is expected.
+ * An argument may stand in '' to hold spaces. "golden --write" replaces the
+ * expected output by the actual output.
  */
 #include <glob.h>
 #include <signal.h>
@@ -40,7 +44,8 @@
     "  - {plan: search, concurrent: 4, queue: 10}\n"
     "  - {plan: orders, concurrent: 4, queue: 10}\n";
 
-static bool run_script(struct cluster *cluster, const char *path, bool write);
+static bool run_script(
+    struct cluster *cluster, const char *path, bool is_writing);
 static const char *run_command(
     struct cluster *cluster, char *line, const char *rest, struct kwb_buf *out);
 static void run_kwbctl(
@@ -51,7 +56,7 @@
     const char *rest, struct kwb_buf *out);
 static void normalize(const struct cluster *cluster, struct kwb_buf *text);
 static void replace_all(struct kwb_buf *text, const char *from, const char *to);
-static void mask_numbers(struct kwb_buf *text, const char *after);
+static void mask_numbers(struct kwb_buf *text, const char *prefix);
 
 int
 main(int argc, char **argv)
@@ -66,31 +71,35 @@
 	    .interactive_reserve = 1,
 	    .engine_args = "--token_us 2000",
 	    .lists = lists_text};
-	bool write = argc > 1 && strcmp(argv[1], "--write") == 0;
+	bool is_writing = argc > 1 && strcmp(argv[1], "--write") == 0;
 	unsigned passed = 0, failed = 0;
-	glob_t found;
+	glob_t scripts;
 	size_t i;
 
 	kwb_log_init("golden", KWB_LOG_ERROR);
 	kwb_http_init();
 	signal(SIGPIPE, SIG_IGN);
-	glob("tests/scripts/*.txt", 0, NULL, &found);
-	for (i = 0; i < found.gl_pathc; i++) {
-		bool is_equal = cluster_start(&world, &spec, BASE_PORT) == 0 &&
-		    run_script(&world, found.gl_pathv[i], write);
+	glob("tests/scripts/*.txt", 0, NULL, &scripts);
+	for (i = 0; i < scripts.gl_pathc; i++) {
+		bool has_passed =
+		    cluster_start(&world, &spec, BASE_PORT) == 0 &&
+		    run_script(&world, scripts.gl_pathv[i], is_writing);
 
 		cluster_stop(&world);
-		passed += is_equal;
-		failed += !is_equal;
+		passed += has_passed;
+		failed += !has_passed;
 	}
-	globfree(&found);
+	globfree(&scripts);
 	printf("golden sessions: %u passed, %u failed\n", passed, failed);
 	return failed > 0 || passed == 0;
 }
 
-/* Runs the commands, making the script anew as it should read. */
+/*
+ * Runs a script and rebuilds its text with the actual output. Returns whether
+ * that equals the script; when writing, stores it.
+ */
 static bool
-run_script(struct cluster *cluster, const char *path, bool write)
+run_script(struct cluster *cluster, const char *path, bool is_writing)
 {
 	struct kwb_buf script, actual, out;
 	const char *rest, *line;
@@ -121,9 +130,9 @@
 		kwb_buf_add(&actual, kwb_buf_text(&out), out.used_bytes);
 	}
 	is_equal = strcmp(kwb_buf_text(&script), kwb_buf_text(&actual)) == 0;
-	if (!is_equal && !write)
-		printf("FAILED %s; this came out:\n%s\n", path, actual.data);
-	if (write) {
+	if (!is_equal && !is_writing)
+		printf("FAILED %s; actual output:\n%s\n", path, actual.data);
+	if (is_writing) {
 		file = fopen(path, "w");
 		fputs(actual.data, file);
 		fclose(file);
@@ -134,7 +143,10 @@
 	return is_equal;
 }
 
-/* Returns where the script goes on. */
+/*
+ * Runs one command and appends its output. Returns where the script continues:
+ * "file" consumes the lines below it. Unknown commands have no output.
+ */
 static const char *
 run_command(
     struct cluster *cluster, char *line, const char *rest, struct kwb_buf *out)
@@ -142,7 +154,7 @@
 	char *words[WORDS_MAX] = {NULL}, *word;
 	unsigned count = 0;
 
-	/* The last word may hold spaces: a body stands in quotes. */
+	/* A word in '' may hold spaces, as a header or a body does. */
 	while (count < WORDS_MAX - 1 && line != NULL && *line != '\0') {
 		if (*line == '\'') {
 			words[count++] = line + 1;
@@ -174,6 +186,7 @@
 	return rest;
 }
 
+/* Runs kwbctl; arguments that name a YAML file mean one of the script's. */
 static void
 run_kwbctl(struct cluster *cluster, char **words, struct kwb_buf *out)
 {
@@ -197,6 +210,7 @@
 	kwb_file_read(path, out);
 }
 
+/* Sends a request; prints status and outcome ("-" without), then the body. */
 static void
 run_http(struct cluster *cluster, char **words, struct kwb_buf *out)
 {
@@ -217,6 +231,7 @@
 	kwb_buf_finish(&answer);
 }
 
+/* Writes the lines up to "." to a file and returns the text behind them. */
 static const char *
 run_file_command(struct cluster *cluster, const char *name, const char *rest,
     struct kwb_buf *out)
@@ -235,7 +250,7 @@
 	return end + 3;
 }
 
-/* Takes out what differs from run to run. */
+/* Removes paths and masks numbers that differ from run to run. */
 static void
 normalize(const struct cluster *cluster, struct kwb_buf *text)
 {
@@ -267,16 +282,16 @@
 	*text = out;
 }
 
-/* Puts N in place of the digits behind a mark. */
+/* Replaces the hexadecimal digits after each occurrence of a prefix by N. */
 static void
-mask_numbers(struct kwb_buf *text, const char *after)
+mask_numbers(struct kwb_buf *text, const char *prefix)
 {
 	struct kwb_buf out;
 	const char *at, *rest = kwb_buf_text(text);
 
 	kwb_buf_init(&out);
-	while ((at = strstr(rest, after)) != NULL) {
-		at += strlen(after);
+	while ((at = strstr(rest, prefix)) != NULL) {
+		at += strlen(prefix);
 		kwb_buf_add(&out, rest, (size_t)(at - rest));
 		rest = at + strspn(at, "0123456789abcdef");
 		if (rest > at)
--- a/tests/session_faults.c
+++ b/tests/session_faults.c
@@ -93,7 +93,8 @@
 
 /*
  * Sets a control of the relay in front of the target; resets it to 0. "silent"
- * needs no reset: it affects only the connections open when it is set.
+ * stays: it affects only the connections open when its value changes, and a
+ * reset would silence those opened since.
  */
 #define DEFINE_RELAY_FAULT(fault, kind, control, value)                        \
 	static void fault##_inject(struct session *session, unsigned index)    \
