--- a/tests/check.sh
+++ b/tests/check.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Runs all tests of a build and closes with their count.
+# Runs all tests of a build and prints the total number passed and failed.
+# usage: check.sh BUILD_DIRECTORY
 set -u
 export KWB_BUILD=$1
 passed=0 failed=0
-# The scripts wait most of their time, so they run beside the fault sessions.
+# The scripts mostly wait for timers, so they run in parallel with the others.
 scripts=$(mktemp)
 "$KWB_BUILD/tests/platform/script" >"$scripts" 2>&1 &
 scripts_pid=$!
@@ -11,7 +12,7 @@
 	fuzz/request fuzz/answer fuzz/stream fuzz/document fuzz/settings \
 	fuzz/rows fuzz/trace fuzz/frame; do
 	arguments=
-	# Seeds that failed once (causes in docs/PROOFS.md), and two others.
+	# Seeds that failed before (causes in docs/PROOFS.md), and two others.
 	[ "$name" = platform/soak ] && arguments='1 2 144 506'
 	[ "${name#fuzz/}" != "$name" ] && arguments=$(echo tests/"${name/fuzz/fuzz/corpus}"/*)
 	if [ "$name" = platform/script ]; then
--- a/tests/fuzz/answer.c
+++ b/tests/fuzz/answer.c
@@ -1,5 +1,5 @@
 /*
- * Fuzz target: answers of upstreams, and their reports.
+ * Fuzz target: HTTP responses of upstreams, parsed as answers and as reports.
  */
 #include "exchange.h"
 
--- a/tests/fuzz/corpus.c
+++ b/tests/fuzz/corpus.c
@@ -1,5 +1,5 @@
 /*
- * Plays the files that are named as arguments through a fuzz target.
+ * Runs a fuzz target on the files that are named as arguments.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fuzz/document.c
+++ b/tests/fuzz/document.c
@@ -1,6 +1,6 @@
 /*
- * Fuzz target: documents that others write to the store. The first byte says
- * which.
+ * Fuzz target: documents that other processes write to the store. The first
+ * byte selects the kind of document.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,11 +9,11 @@
 #include "fuzz.h"
 
 static void
-parse_document(uint8_t which, const char *text, size_t length_bytes)
+parse_document(uint8_t kind, const char *text, size_t length_bytes)
 {
 	struct kwb_node_config config;
 	struct kwb_upstream_status status;
-	struct kwb_batch_record head;
+	struct kwb_batch_record record;
 	struct kwb_faults faults = {0};
 	struct kwb_row row = {.key = (char *)"k",
 	    .value = (char *)text,
@@ -22,7 +22,7 @@
 	uint64_t version;
 
 	memset(&config, 0, sizeof(config));
-	switch (which % 4) {
+	switch (kind % 4) {
 	case 0:
 		if (platform_document_schema.parse_config(
 			&config, text, length_bytes, &faults) == 0)
@@ -37,7 +37,7 @@
 		    text, length_bytes, model, sizeof(model), &version);
 		break;
 	default:
-		kwb_batch_record_parse(&head, &row);
+		kwb_batch_record_parse(&record, &row);
 		break;
 	}
 }
@@ -53,7 +53,7 @@
 	text = malloc(length_bytes);
 	if (text == NULL)
 		abort();
-	/* Rows end with a NUL behind their value. */
+	/* Values of rows are followed by a NUL. */
 	memcpy(text, data + 1, length_bytes - 1);
 	text[length_bytes - 1] = '\0';
 	parse_document(data[0], text, length_bytes - 1);
--- a/tests/fuzz/exchange.h
+++ b/tests/fuzz/exchange.h
@@ -1,5 +1,5 @@
 /*
- * Feeds bytes to a connection, in pieces, as a peer would send them.
+ * Feeds bytes to an HTTP connection in chunks, as a peer would send them.
  */
 #ifndef KWB_TESTS_FUZZ_EXCHANGE_H
 #define KWB_TESTS_FUZZ_EXCHANGE_H
@@ -15,8 +15,7 @@
 #include "kwb_node.h"
 
 #define CHUNK_MAX_BYTES 4096
-#define EVENT_LOOP_ROUNDS_MAX                                                  \
-	64 /* of the event loop, until all has been read */
+#define EVENT_LOOP_ROUNDS_MAX 64 /* until all bytes have been read */
 
 struct fuzz_conn {
 	struct kwb_conn conn;
@@ -45,7 +44,11 @@
 static const struct kwb_conn_ops fuzz_ops = {
     .on_message = fuzz_on_message, .on_close = fuzz_on_close};
 
-/* The first byte says in pieces of which length the others come. */
+/*
+ * Sends the bytes behind the first to a connection, which calls on_message for
+ * each complete message. The first byte is the length of the chunks; 0 stands
+ * for CHUNK_MAX_BYTES.
+ */
 static void
 fuzz_feed(const uint8_t *data, size_t length_bytes, bool is_server,
     void (*on_message)(const struct kwb_message *message))
--- a/tests/fuzz/frame.c
+++ b/tests/fuzz/frame.c
@@ -1,6 +1,6 @@
 /*
- * Fuzz target: frames of the inner protocol, as they come, and what is read is
- * written and read again.
+ * Fuzz target: frames between entries and agents. A frame that can be unpacked
+ * must be one again after packing.
  */
 #include <stdlib.h>
 
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,7 +1,7 @@
 /*
- * Fuzz targets of the node: each takes bytes from outside as they come, and
- * must neither crash nor leak. Built with a fuzzing engine by "make fuzz", or
- * with a driver that plays the corpus by "make check".
+ * Fuzz targets: each parses untrusted bytes and must neither crash nor leak.
+ * "make fuzz" links them with a fuzzing engine; "make check" links them with
+ * corpus.c, which runs them on the files of the corpus.
  */
 #ifndef KWB_TESTS_FUZZ_H
 #define KWB_TESTS_FUZZ_H
@@ -9,6 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* Runs the target on one input. Returns 0; failures abort. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length_bytes);
 
 #endif
--- a/tests/fuzz/request.c
+++ b/tests/fuzz/request.c
@@ -1,15 +1,15 @@
 /*
- * Fuzz target: requests of callers and trainers, and submissions.
+ * Fuzz target: HTTP requests of callers and trainers, and batch submissions.
  */
 #include "exchange.h"
 
 static void
 on_request(const struct kwb_message *message)
 {
-	struct kwb_request_head call;
+	struct kwb_request_head request;
 	struct kwb_batch_spec spec;
 
-	platform_message_codec.parse_request(message, &call);
+	platform_message_codec.parse_request(message, &request);
 	if (platform_message_codec.parse_batch(kwb_buf_text(&message->body),
 		message->body.used_bytes, &spec) == 0)
 		kwb_batch_spec_finish(&spec);
--- a/tests/fuzz/rows.c
+++ b/tests/fuzz/rows.c
@@ -1,5 +1,5 @@
 /*
- * Fuzz target: rows as the platform's store answers them.
+ * Fuzz target: rows in answers of the platform's store.
  */
 #include <stdlib.h>
 
--- a/tests/fuzz/stream.c
+++ b/tests/fuzz/stream.c
@@ -1,6 +1,6 @@
 /*
- * Fuzz target: streams of events, split at any point. The parsed events must
- * not depend on where.
+ * Fuzz target: server-sent events. The parsed events must not depend on how the
+ * stream is split into chunks.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,6 +8,8 @@
 #include "fuzz.h"
 #include "kwb_node.h"
 
+/* The events that were parsed, in short. */
+/* Number and hash of the parsed events. */
 struct event_digest {
 	uint64_t count;
 	uint64_t hash;
@@ -25,6 +27,7 @@
 		digest->hash = digest->hash * 31 + (uint8_t)event->data.data[i];
 }
 
+/* Parses the stream in chunks of a length; returns the parser's last code. */
 static int
 feed(const uint8_t *data, size_t length_bytes, size_t chunk_bytes,
     struct event_digest *digest)
--- a/tests/fuzz/trace.c
+++ b/tests/fuzz/trace.c
@@ -1,5 +1,5 @@
 /*
- * Fuzz target: log lines as they are collected, and what is made of them.
+ * Fuzz target: log lines, from which a trace of a batch is built.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -36,7 +36,7 @@
 		for (i = 1; i < trace.spans_count; i++)
 			if (trace.spans[i].begin_ms !=
 			    trace.spans[i - 1].end_ms)
-				abort(); /* spans have no gaps */
+				abort(); /* there is a gap between spans */
 	kwb_trace_finish(&trace);
 	return 0;
 }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Takes one mechanism out at a time, on a scratch copy, and runs the proof that
-# must then fail. A line: name ~ file ~ perl expression ~ command that must fail.
+# Mutation tests: removes one mechanism at a time, on a scratch copy, and runs
+# the test that must then fail. A mutant that no test detects is a failure.
+# A line of mutants.txt: name ~ file ~ perl expression ~ command that must fail.
+# usage: mutants.sh [NAME_PREFIX]
 set -u
 top=$(cd "$(dirname "$0")/.." && pwd)
 scratch=$(mktemp -d)
--- a/tests/sanitize.sh
+++ b/tests/sanitize.sh
@@ -1,14 +1,17 @@
 #!/usr/bin/env bash
-# Runs tests of a sanitizer build; a report of any process fails.
+# Runs tests of a sanitizer build; a sanitizer report of any process, daemons
+# included, is a failure.
+# usage: sanitize.sh BUILD_DIRECTORY
 set -u -o pipefail
 export KWB_BUILD=$1
 export ASAN_OPTIONS=log_path=$PWD/$1/report,detect_leaks=1
 export UBSAN_OPTIONS=log_path=$PWD/$1/report,print_stacktrace=1
 rm -f "$1"/report.*
 code=0
-# The scripts wait most of their time, so they run beside the others.
+# The scripts mostly wait for timers, so they run in parallel with the others.
 scripts=$(mktemp)
-# One of them bounds memory, of which the sanitizer would keep 256 MB once freed.
+# pour.txt checks a limit on memory. The address sanitizer would hold back 256 MB
+# of freed memory, so that script runs with a quarantine of 8 MB.
 (
 	mapfile -t others < <(ls tests/platform/scripts/*.txt | grep -v /pour.txt)
 	"$1/tests/platform/script" "${others[@]}" || exit 1
--- a/tests/unit.c
+++ b/tests/unit.c
@@ -1,5 +1,6 @@
 /*
- * Unit tests: decisions over tables of cases, frames, lists, settings.
+ * Unit tests, without processes or sockets: decisions over tables of cases,
+ * frames, lists, settings and the log.
  */
 #include <fcntl.h>
 #include <stdio.h>
@@ -16,7 +17,8 @@
 #include "kwb.h"
 
 #define LOG_LINES 20000
-#define LOG_LINE_MAX_NS (50 * 1000) /* ten times a line, on a busy machine */
+#define LOG_LINE_MAX_NS                                                        \
+	(50 * 1000) /* ten times the usual time, for busy machines */
 #define COUNT(table) (sizeof(table) / sizeof((table)[0]))
 
 static void
@@ -29,23 +31,23 @@
 		int index;
 		int error;
 	} cases[] = {
-	    {"none usable", {.exclude = -1}, {{.vm = "a"}}, -1,
+	    {"no upstream is usable", {.exclude = -1}, {{.vm = "a"}}, -1,
 		KWB_ERR_ROUTE_NONE},
-	    {"weights too old", {.exclude = -1, .min_version = 5},
+	    {"weights are too old", {.exclude = -1, .min_version = 5},
 		{{.vm = "a",
 		    .usable = true,
 		    .version = 4,
 		    .units = 1,
 		    .slots = 1}},
 		-1, KWB_ERR_ROUTE_NONE},
-	    {"share used up", {.exclude = -1},
+	    {"the plan's units are used up", {.exclude = -1},
 		{{.vm = "a",
 		    .usable = true,
 		    .units = 2,
 		    .plan_in_flight = 2,
 		    .slots = 9}},
 		-1, KWB_ERR_ROUTE_FULL},
-	    {"swapping is left out", {.exclude = -1},
+	    {"a swapping upstream is skipped", {.exclude = -1},
 		{{.vm = "a",
 		     .usable = true,
 		     .units = 2,
@@ -53,7 +55,7 @@
 		     .swapping = true},
 		    {.vm = "b", .usable = true, .units = 2, .slots = 9}},
 		1, 0},
-	    {"excluded is left out", {.exclude = 1},
+	    {"the excluded upstream is skipped", {.exclude = 1},
 		{{.vm = "a", .usable = true, .units = 2, .slots = 9},
 		    {.vm = "b", .usable = true, .units = 2, .slots = 9}},
 		0, 0},
@@ -74,7 +76,8 @@
 			.slots = 9,
 			.in_flight = 3}},
 		1, 0},
-	    {"full slots stop training only", {.exclude = -1, .priority = true},
+	    {"full slots don't stop priority requests",
+		{.exclude = -1, .priority = true},
 		{{.vm = "a",
 		    .usable = true,
 		    .units = 9,
@@ -97,7 +100,11 @@
 	}
 }
 
-/* A group shares its prompt: its samples prefer the same upstream. */
+/*
+ * The samples of a group share a prompt: whatever the random number, they go to
+ * the same upstream, so that its prefix cache is used, until that has too much
+ * load.
+ */
 static void
 test_route_affinity(void)
 {
@@ -129,8 +136,9 @@
 }
 
 /*
- * Members that act one at a time, in any order and with any load, never sum
- * above the allowance, and settle at their fair parts once load allows.
+ * Agents update their units one at a time, in any order and under any load.
+ * Their sum must never exceed the allowance, unless that was lowered, and must
+ * reach it once no requests run.
  */
 static void
 test_share_sum(void)
@@ -142,7 +150,7 @@
 		unsigned count = 1 + seed % 12, i, round;
 		uint32_t allowance = seed % 50, sum, running[12] = {0};
 
-		/* One holds all at first, as after a cold start. */
+		/* One agent holds all units at first, as after a cold start. */
 		members[0].units = allowance;
 		state = seed;
 		for (i = 0; i < count; i++)
@@ -194,6 +202,7 @@
 		    cases[i].holders);
 }
 
+/* Retries stay within KWB_RETRY_PERCENT of the calls, plus a burst. */
 static void
 test_retry_budget(void)
 {
@@ -268,15 +277,16 @@
 		{{true, false, 1, 5}, {true, false, 1, 2}, {true, false, 1, 9},
 		    {true, false, 1, 3}},
 		1},
-	    {"a quarter at once", {2, 0, KWB_OBJECTIVE_IDLE},
+	    {"at most a quarter swaps at a time", {2, 0, KWB_OBJECTIVE_IDLE},
 		{{true, true, 1, 5}, {true, false, 1, 2}, {true, false, 1, 9},
 		    {true, false, 1, 3}},
 		-1},
-	    {"half at once", {2, 0, KWB_OBJECTIVE_STALENESS},
+	    {"at most half swap, to limit staleness",
+		{2, 0, KWB_OBJECTIVE_STALENESS},
 		{{true, true, 1, 5}, {true, false, 1, 2}, {true, false, 1, 9},
 		    {true, false, 1, 3}},
 		1},
-	    {"a failed swap again", {2, 0, KWB_OBJECTIVE_IDLE},
+	    {"a failed swap is repeated", {2, 0, KWB_OBJECTIVE_IDLE},
 		{{true, false, 2, 5}, {false, false, 1, 2}, {true, false, 2, 9},
 		    {true, false, 0, 30}},
 		3},
@@ -284,11 +294,11 @@
 		{{true, false, 2, 5}, {true, false, 2, 1}, {true, false, 2, 9},
 		    {true, false, 3, 0}},
 		-1},
-	    {"an idle one does not", {3, 1, KWB_OBJECTIVE_IDLE},
+	    {"an idle server doesn't wait", {3, 1, KWB_OBJECTIVE_IDLE},
 		{{true, false, 2, 5}, {true, false, 2, 1}, {true, false, 2, 0},
 		    {true, false, 3, 0}},
 		2},
-	    {"nor one without slack left", {3, 1, KWB_OBJECTIVE_IDLE},
+	    {"a server without slack doesn't wait", {3, 1, KWB_OBJECTIVE_IDLE},
 		{{true, false, 1, 5}, {true, false, 2, 1}, {true, false, 2, 9},
 		    {true, false, 3, 0}},
 		0},
@@ -304,13 +314,17 @@
 	}
 }
 
+/*
+ * An entry's subset of agents: three quarters in its own failure domain, the
+ * others in every other domain, and the same choice on each call.
+ */
 static void
 test_subset(void)
 {
 	static struct kwb_vms vms;
 	uint32_t chosen[64], again[64];
-	unsigned i, count, near = 0;
-	bool seen[5] = {false};
+	unsigned i, count, same_domain_count = 0;
+	bool has_domain[5] = {false};
 
 	vms.count = 100;
 	for (i = 0; i < 100; i++) {
@@ -323,12 +337,12 @@
 	count = kwb_subset_select(&vms, "entry-1", "fd-3", 16, chosen, 64);
 	CU_ASSERT_EQUAL(count, 16);
 	for (i = 0; i < count; i++) {
-		near += chosen[i] % 5 == 3;
-		seen[chosen[i] % 5] = true;
+		same_domain_count += chosen[i] % 5 == 3;
+		has_domain[chosen[i] % 5] = true;
 	}
-	CU_ASSERT_EQUAL(near, 12);
+	CU_ASSERT_EQUAL(same_domain_count, 12);
 	for (i = 0; i < 5; i++)
-		CU_ASSERT(seen[i]);
+		CU_ASSERT(has_domain[i]);
 	CU_ASSERT_EQUAL(
 	    kwb_subset_select(&vms, "entry-1", "fd-3", 16, again, 64), 16);
 	CU_ASSERT_EQUAL(memcmp(chosen, again, 16 * sizeof(*chosen)), 0);
@@ -338,7 +352,7 @@
 	    kwb_holders_select(&vms, "shop", "quotes", 8, chosen, 64), 0);
 }
 
-/* Two entries that start at the same moment never make the same key. */
+/* Two entries that start in the same millisecond must make different keys. */
 static void
 test_key_uniqueness(void)
 {
@@ -357,7 +371,7 @@
 	}
 	CU_ASSERT_STRING_NOT_EQUAL(calls[0], calls[1]);
 	CU_ASSERT_STRING_NOT_EQUAL(starts[0], starts[1]);
-	/* Names of full length leave room for the number. */
+	/* With names of full length, the number must not be cut off. */
 	memset(name, 'n', sizeof(name) - 1);
 	name[sizeof(name) - 1] = '\0';
 	kwb_call_key_print(
@@ -367,6 +381,7 @@
 	CU_ASSERT_STRING_NOT_EQUAL(calls[0], calls[1]);
 }
 
+/* A ticket that is printed is parsed again; malformed ones are refused. */
 static void
 test_ticket(void)
 {
@@ -390,7 +405,7 @@
 		    kwb_ticket_parse(&back, bad[i]), KWB_ERR_ARGUMENT);
 }
 
-/* Whole, cut, oversized, malformed and empty frames, byte by byte. */
+/* A frame that arrives byte by byte; oversized, malformed and partial ones. */
 static void
 test_frames(void)
 {
@@ -436,7 +451,7 @@
 	kwb_buf_finish(&in);
 }
 
-/* Any bytes: no crash, and progress or an error. */
+/* Frames of random bytes: no crash, and every frame is consumed. */
 static void
 test_frames_random(void)
 {
@@ -481,7 +496,7 @@
 	return lists;
 }
 
-/* Every fault at once, each with file, line and field. */
+/* A check reports all faults at once, each with file, line and field. */
 static void
 test_lists_faults(void)
 {
@@ -525,6 +540,7 @@
 	kwb_lists_free(lists);
 }
 
+/* Unknown fields and wrong types are reported with file and line. */
 static void
 test_lists_schema(void)
 {
@@ -560,7 +576,7 @@
 	}
 }
 
-/* Printing and reading again gives the same lists. */
+/* Lists that are printed and parsed again must be the same. */
 static void
 test_lists_round_trip(void)
 {
@@ -580,6 +596,7 @@
 	kwb_lists_free(again);
 }
 
+/* Edits of different allowances merge; edits of the same one conflict. */
 static void
 test_lists_merge(void)
 {
@@ -608,7 +625,7 @@
 	kwb_lists_free(ours);
 }
 
-/* The revision in force only rises. */
+/* The revision of the lists in force must never decrease. */
 static void
 test_lists_in_force(void)
 {
@@ -638,6 +655,7 @@
 	kwb_current_lists_finish();
 }
 
+/* Loading settings reports all five faults at once. */
 static void
 test_settings(void)
 {
@@ -657,7 +675,9 @@
 	remove(path);
 }
 
-/* Logs a burst of both kinds of lines into the file, as a process of its own.
+/*
+ * Logs lines of two levels into the file; called in a child process. Returns
+ * the time that the calls took, in nanoseconds.
  */
 static uint64_t
 log_burst(int fd, unsigned lines)
@@ -686,7 +706,7 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-/* Nobody reads the output: no line may wait for its reader. */
+/* Logging must not block when the pipe it writes to is full and never read. */
 static void
 test_log_without_reader(void)
 {
@@ -711,7 +731,10 @@
 	close(ends[1]);
 }
 
-/* What a second may bring is bounded, and what is left out is counted. */
+/*
+ * The lines logged per second are limited, for each of the two levels, and a
+ * line reports how many were dropped.
+ */
 static void
 test_log_rate_limit(void)
 {
@@ -753,25 +776,25 @@
 	static const CU_TestInfo tests[] = {
 	    {"route table", test_route},
 	    {"route affinity", test_route_affinity},
-	    {"share sum", test_share_sum},
+	    {"sum of shares", test_share_sum},
 	    {"share holders", test_share_holders},
 	    {"retry budget", test_retry_budget},
 	    {"sample freshness", test_sample_freshness},
 	    {"hedge", test_hedge},
 	    {"swap order", test_swap_order},
 	    {"subset", test_subset},
-	    {"keys", test_key_uniqueness},
+	    {"key uniqueness", test_key_uniqueness},
 	    {"ticket", test_ticket},
 	    {"frames", test_frames},
 	    {"frames of random bytes", test_frames_random},
 	    {"lists faults", test_lists_faults},
 	    {"lists schema", test_lists_schema},
-	    {"lists round trip", test_lists_round_trip},
+	    {"lists printed and parsed", test_lists_round_trip},
 	    {"lists merge", test_lists_merge},
 	    {"lists in force", test_lists_in_force},
 	    {"settings faults", test_settings},
 	    {"log without a reader", test_log_without_reader},
-	    {"log in a burst", test_log_rate_limit},
+	    {"log rate limit", test_log_rate_limit},
 	    CU_TEST_INFO_NULL,
 	};
 	CU_SuiteInfo suites[] = {
