--- a/tests/faults.c
+++ b/tests/faults.c
@@ -109,8 +109,7 @@
 	return NULL;
 }
 
-/* Runs one session and prints its result. Returns 0, 1 failed, 2 wrong usage.
- */
+/* Runs a session and prints its result. Returns 0, 1 failed or 2 misused. */
 static int
 run_session(const struct session_line *line, uint16_t base_port)
 {
--- a/tests/fuzz/exchange.h
+++ b/tests/fuzz/exchange.h
@@ -20,7 +20,7 @@
 struct fuzz_conn {
 	struct kwb_conn conn;
 	void (*on_message)(const struct kwb_message *message);
-	bool closed;
+	bool is_closed;
 };
 
 static void
@@ -38,7 +38,7 @@
 	struct fuzz_conn *fuzz = conn->context;
 
 	(void)error;
-	fuzz->closed = true;
+	fuzz->is_closed = true;
 }
 
 static const struct kwb_conn_ops fuzz_ops = {
@@ -78,8 +78,8 @@
 		fuzz.conn.parser.data = &fuzz.conn;
 	}
 	chunk_bytes = data[0] == 0 ? CHUNK_MAX_BYTES : data[0];
-	for (i = 0;
-	     i < EVENT_LOOP_ROUNDS_MAX && offset < length_bytes && !fuzz.closed;
+	for (i = 0; i < EVENT_LOOP_ROUNDS_MAX && offset < length_bytes &&
+	     !fuzz.is_closed;
 	     i++) {
 		size_t left = length_bytes - offset;
 		ssize_t sent = write(sockets[1], data + offset,
@@ -90,7 +90,7 @@
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
 	close(sockets[1]);
-	if (!fuzz.closed)
+	if (!fuzz.is_closed)
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	kwb_conn_finish(&fuzz.conn);
 	event_base_loop(base, EVLOOP_NONBLOCK);
--- a/tests/session_faults.c
+++ b/tests/session_faults.c
@@ -35,6 +35,7 @@
 	TARGET_SERVICE
 };
 
+/* Prints the name of the process that the index selects, and returns it. */
 static const char *
 target(enum target_kind kind, unsigned index, char *name)
 {
@@ -72,7 +73,7 @@
 		    &session->cluster, target(kind, index, name));             \
 	}
 
-/* Sends the first signal; sends the second to heal. */
+/* Sends a signal to the process; sends another one to heal. */
 #define DEFINE_SIGNAL_FAULT(fault, kind, inject_signal, heal_signal)           \
 	static void fault##_inject(struct session *session, unsigned index)    \
 	{                                                                      \
@@ -226,12 +227,12 @@
 
 	if (code != 0)
 		session_fail(session,
-		    "a change is not in force at a cut-off entry: kwbctl exits "
-		    "%d",
+		    "a change is not in force at a cut-off entry: kwbctl exits %d",
 		    code);
 	cut_platform_heal(session, index);
 }
 
+/* A VM leaves the VM list while its agent and engine still run. */
 static void
 listed_gone_inject(struct session *session, unsigned index)
 {
@@ -327,8 +328,7 @@
 	vm_lost_heal(session, index);
 }
 
-/* An entry starts while the platform is down; it learns the lists from peers.
- */
+/* An entry starts while the platform is down; its peers send it the lists. */
 static void
 start_in_outage_inject(struct session *session, unsigned index)
 {
@@ -373,7 +373,10 @@
 	table_down_heal(session, index);
 }
 
-/* Two operators edit different allowances in turn, without waiting. */
+/*
+ * Two operators edit different allowances in turn, without waiting until they
+ * are in force. kwbctl must exit with 0 or with 6, not in force yet.
+ */
 static void
 operators_race_inject(struct session *session, unsigned index)
 {
--- a/tests/world.h
+++ b/tests/world.h
@@ -29,9 +29,9 @@
 	const char *engine_args; /* further arguments, space-separated */
 	const char *policy;	 /* routing policy; NULL for the default */
 	unsigned slots;		 /* requests that an upstream runs at once */
-	unsigned
-	    interactive_reserve; /* slots of an engine kept from training */
-	const char *lists;	 /* YAML of plans and allowances */
+	/* Slots of each engine that training requests leave free. */
+	unsigned interactive_reserve;
+	const char *lists; /* YAML of plans and allowances */
 };
 
 struct cluster_process {
