--- a/tests/session.c
+++ b/tests/session.c
@@ -286,7 +286,7 @@
 }
 
 /*
- * Places one run_order_client: without a name, with an idempotency key, or with a ticket.
+ * Places one order: without a name, with an idempotency key, or with a ticket.
  * With a key or ticket it is sent up to four times, alternating between the
  * entries, while its outcome is unknown.
  */
@@ -607,7 +607,7 @@
 	verify_order_outcomes(session);
 }
 
-/* Compares the outcome of each run_order_client with the journals of the services. */
+/* Compares the outcome of each order with the journals of the services. */
 static void
 verify_order_outcomes(struct session *session)
 {
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,7 +1,7 @@
 /*
  * A test cluster on loopback, for tests and benchmarks: the real daemons, and
  * fakes of the platform, engines and services, each as a process. Optional
- * has_relays between them inject network faults.
+ * relays between them inject network faults.
  */
 #ifndef KWB_TESTS_CLUSTER_H
 #define KWB_TESTS_CLUSTER_H
