--- a/bench/policies.c
+++ b/bench/policies.c
@@ -33,7 +33,7 @@
 	const char *name;
 	unsigned engines;
 	unsigned services;
-	unsigned domains;
+	unsigned failure_domains;
 	const char *objective;
 	unsigned units; /* of each training plan */
 };
@@ -61,7 +61,7 @@
 };
 
 struct trainer_thread {
-	struct world *world;
+	struct cluster *world;
 	const char *plan;
 	const char *model;
 	unsigned units;
@@ -72,7 +72,7 @@
 };
 
 struct caller_thread {
-	struct world *world;
+	struct cluster *world;
 	_Atomic bool *stopping;
 	uint64_t gap_ns;
 	unsigned number;
@@ -84,8 +84,8 @@
 };
 
 static const char *domain_lists(const struct deployment *deployment);
-static void world_make(struct world *world, const struct deployment *deployment,
-    const char *policy);
+static void world_make(struct cluster *world,
+    const struct deployment *deployment, const char *policy);
 static void scenario_step(const struct deployment *deployment, bool kill);
 static void scenario_mixed(const struct deployment *deployment);
 static void scenario_overload(const struct deployment *deployment);
@@ -97,10 +97,10 @@
     const struct trainer_thread *trainer, uint64_t step);
 static void *kill_one(void *argument);
 static void *call(void *argument);
-static void callers_run(struct world *world, struct caller_thread *callers,
+static void callers_run(struct cluster *world, struct caller_thread *callers,
     unsigned count, uint64_t gap_ns, _Atomic bool *stopping);
 static void callers_print(struct caller_thread *callers, unsigned count);
-static double cache_share(struct world *world);
+static double cache_share(struct cluster *world);
 
 int
 main(int argc, char **argv)
@@ -133,7 +133,7 @@
 static void
 scenario_step(const struct deployment *deployment, bool kill)
 {
-	static struct world world;
+	static struct cluster world;
 	size_t i;
 
 	for (i = 0; i < 3; i++) {
@@ -159,7 +159,7 @@
 		    outcome->age_sum / outcome->samples, outcome->age_most,
 		    100 * outcome->wasted / outcome->tokens,
 		    100 * cache_share(&world), outcome->wrong);
-		world_stop(&world);
+		cluster_stop(&world);
 	}
 }
 
@@ -168,7 +168,7 @@
 scenario_mixed(const struct deployment *deployment)
 {
 	static struct caller_thread alone[4], beside[4];
-	static struct world world;
+	static struct cluster world;
 	size_t i;
 	unsigned t;
 
@@ -226,7 +226,7 @@
 		callers_print(alone, 4);
 		printf("      callers beside: ");
 		callers_print(beside, 4);
-		world_stop(&world);
+		cluster_stop(&world);
 	}
 }
 
@@ -236,7 +236,7 @@
 {
 	static struct caller_thread callers[64];
 	static const unsigned counts[] = {8, 40, 8};
-	static struct world world;
+	static struct cluster world;
 	unsigned phase, t;
 
 	world_make(&world, deployment, "kwb");
@@ -257,24 +257,24 @@
 		    answered * 1e9 / (double)(kwb_clock_now_ns() - begun_ns));
 		callers_print(callers, counts[phase]);
 	}
-	world_stop(&world);
+	cluster_stop(&world);
 }
 
 /* Time until all upstreams serve a new version. */
 static void
 scenario_weights(const struct deployment *deployment)
 {
-	static struct world world;
+	static struct cluster world;
 	unsigned round, i, done;
 	uint64_t begun_ns;
 
 	world_make(&world, deployment, "kwb");
-	world_set(&world, "platform", "weights_mb_s", 20);
+	cluster_set_control(&world, "platform", "weights_mb_s", 20);
 	for (round = 0; round < 3; round++) {
 		begun_ns = kwb_clock_now_ns();
-		world_publish(&world, "m", round + 2);
+		cluster_publish_weights(&world, "m", round + 2);
 		do {
-			char name[WORLD_NAME_BYTES], url[160], mark[64];
+			char name[CLUSTER_NAME_MAX_BYTES], url[160], mark[64];
 			struct kwb_buf text;
 
 			snprintf(mark, sizeof(mark),
@@ -283,10 +283,10 @@
 			    round + 2);
 			for (i = 1, done = 0; i <= deployment->engines; i++) {
 				snprintf(name, sizeof(name), "engine-%u", i);
-				world_url(&world, name, url, 64);
+				cluster_print_url(&world, name, url, 64);
 				strcat(url, "/load");
 				kwb_buf_init(&text);
-				world_http(
+				cluster_http_request(
 				    "GET", url, NULL, NULL, &text, NULL, 500);
 				done +=
 				    strstr(kwb_buf_text(&text), mark) != NULL;
@@ -301,7 +301,7 @@
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e6,
 		    deployment->engines * 50 + 100);
 	}
-	world_stop(&world);
+	cluster_stop(&world);
 }
 
 /*
@@ -327,7 +327,8 @@
 		if (step == trainer->kill_in_step)
 			pthread_join(killer, NULL);
 		time_ns = (double)result.time_ns;
-		world_publish(trainer->world, trainer->model, step + 1);
+		cluster_publish_weights(
+		    trainer->world, trainer->model, step + 1);
 		outcome->samples += result.received;
 		outcome->age_sum += (double)result.age_sum;
 		outcome->wrong += result.wrong + result.doubled + result.stale;
@@ -365,8 +366,8 @@
 	    .length_spread = LENGTH_SPREAD,
 	    .deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS};
 
-	world_url(trainer->world, "entry-1", urls[0], sizeof(urls[0]));
-	world_url(trainer->world, "entry-2", urls[1], sizeof(urls[1]));
+	cluster_print_url(trainer->world, "entry-1", urls[0], sizeof(urls[0]));
+	cluster_print_url(trainer->world, "entry-2", urls[1], sizeof(urls[1]));
 	trainer_pull(&pull, step, result);
 }
 
@@ -396,7 +397,7 @@
 				longest = length;
 		}
 	}
-	per_engine = (double)trainer->units / trainer->world->shape.engines;
+	per_engine = (double)trainer->units / trainer->world->spec.engines;
 	pace_ns = (TOKEN_US + BATCH_US * per_engine) * 1000;
 	length = total / trainer->units * pace_ns;
 	longest *= (TOKEN_US + BATCH_US) * 1000.0;
@@ -406,10 +407,10 @@
 static void *
 kill_one(void *argument)
 {
-	struct world *world = argument;
+	struct cluster *world = argument;
 
 	kwb_clock_sleep_ns(300 * KWB_MS_NS);
-	world_kill(world, "engine-2");
+	cluster_kill_process(world, "engine-2");
 	return NULL;
 }
 
@@ -417,7 +418,7 @@
 call(void *argument)
 {
 	struct caller_thread *caller = argument;
-	char url[160], body[160], entry[WORLD_NAME_BYTES];
+	char url[160], body[160], entry[CLUSTER_NAME_MAX_BYTES];
 	unsigned count;
 
 	for (count = 0; !*caller->stopping; count++) {
@@ -427,14 +428,14 @@
 
 		snprintf(entry, sizeof(entry), "entry-%u",
 		    (caller->number + count) % 2 + 1);
-		world_url(caller->world, entry, url, 64);
+		cluster_print_url(caller->world, entry, url, 64);
 		strcat(url, "/v1/plans/search/completions");
 		snprintf(body, sizeof(body),
 		    "{\"prompt\":\"search %u\",\"seed\":%u,\"max_tokens\":40,"
 		    "\"stream\":true}",
 		    count % 32, caller->number * 1000 + count);
-		status = world_http("POST", url, "X-Kwb-Timeout-Ms: 2000", body,
-		    NULL, NULL, 5000);
+		status = cluster_http_request("POST", url,
+		    "X-Kwb-Timeout-Ms: 2000", body, NULL, NULL, 5000);
 		passed_ms = (double)(kwb_clock_now_ns() - begun_ns) / 1e6;
 		if (status == 200 && caller->answered < CALLS_MAX / 8)
 			caller->latency_ms[caller->answered++] = passed_ms;
@@ -448,8 +449,8 @@
 }
 
 static void
-callers_run(struct world *world, struct caller_thread *callers, unsigned count,
-    uint64_t gap_ns, _Atomic bool *stopping)
+callers_run(struct cluster *world, struct caller_thread *callers,
+    unsigned count, uint64_t gap_ns, _Atomic bool *stopping)
 {
 	unsigned i;
 
@@ -484,34 +485,35 @@
 }
 
 static double
-cache_share(struct world *world)
+cache_share(struct cluster *world)
 {
 	double hits = 0, misses = 0;
-	char name[WORLD_NAME_BYTES];
+	char name[CLUSTER_NAME_MAX_BYTES];
 	unsigned i;
 
-	for (i = 1; i <= world->shape.engines; i++) {
+	for (i = 1; i <= world->spec.engines; i++) {
 		snprintf(name, sizeof(name), "engine-%u", i);
-		if (world_proc(world, name)->pid == 0)
+		if (cluster_find_process(world, name)->pid == 0)
 			continue;
-		hits += (double)world_get(world, name, "cache_hits");
-		misses += (double)world_get(world, name, "cache_misses");
+		hits += (double)cluster_get_control(world, name, "cache_hits");
+		misses +=
+		    (double)cluster_get_control(world, name, "cache_misses");
 	}
 	return hits + misses > 0 ? hits / (hits + misses) : 0;
 }
 
 static void
-world_make(struct world *world, const struct deployment *deployment,
+world_make(struct cluster *world, const struct deployment *deployment,
     const char *policy)
 {
 	char extra[256];
-	struct world_shape shape = {.entries = 2,
+	struct cluster_spec spec = {.entries = 2,
 	    .engines = deployment->engines,
 	    .services = deployment->services,
-	    .domains = deployment->domains,
+	    .failure_domains = deployment->failure_domains,
 	    .models = "m,n,c",
 	    .slots = 32,
-	    .reserve = 4,
+	    .interactive_reserve = 4,
 	    .engine_args = extra,
 	    .policy = policy};
 
@@ -519,13 +521,13 @@
 	    "--token_us %d --batch_us %d --prefill_us 300 --length_median %d "
 	    "--length_spread %d",
 	    TOKEN_US, BATCH_US, LENGTH_MEDIAN, LENGTH_SPREAD);
-	shape.lists = domain_lists(deployment);
-	if (world_start(world, &shape, BASE_PORT) == 0) {
-		world_publish(world, "n", 1);
+	spec.lists = domain_lists(deployment);
+	if (cluster_start(world, &spec, BASE_PORT) == 0) {
+		cluster_publish_weights(world, "n", 1);
 		return;
 	}
 	fprintf(stderr, "the world did not start\n");
-	world_stop(world);
+	cluster_stop(world);
 	exit(1);
 }
 
--- a/tests/faults.c
+++ b/tests/faults.c
@@ -1,9 +1,9 @@
 /*
- * Fault runner: sessions from a table of faults, alone, in pairs and twice in
- * a row, several at a time.
+ * Runs fault sessions, several in parallel: each fault alone, pairs of faults,
+ * and the same fault at two targets.
  *
  *   faults                       the fixed set that CI runs
- *   faults FAULT [FAULT] [SEED]  one session
+ *   faults FAULT [FAULT] [SEED]  one session; FAULT "none" for load alone
  *   faults --soak N              N sessions of random pairs
  */
 #include <signal.h>
@@ -15,19 +15,20 @@
 
 #include "session.h"
 
-#define SLOTS 4
+#define PARALLEL_SESSIONS 4
 #define BASE_PORT 21000
 #define SESSIONS_MAX 512
-#define KNOWN_RED "KNOWN-RED.txt"
+#define KNOWN_FAILURES_FILE "KNOWN-RED.txt"
 
-struct plan_line {
+/* A session to run, as on the command line: one or two faults and a seed. */
+struct session_line {
 	const char *first;
-	const char *second; /* NULL for one alone */
+	const char *second; /* NULL for a single fault */
 	uint64_t seed;
 };
 
-/* Pairs, and the same fault twice in a row at targets of its own. */
-static const struct plan_line pairs[] = {
+/* Pairs of faults, and the same fault twice, at different targets. */
+static const struct session_line pairs[] = {
     {"kill_entry", "table_down", 11},
     {"kill_llm", "table_down", 12},
     {"kill_shop", "table_loses", 13},
@@ -48,17 +49,17 @@
     {"vm_lost", "table_down", 28},
 };
 
-static const struct fault *fault_find(const char *name);
-static int run_one(const struct plan_line *line, uint16_t base_port);
-static int run_all(const struct plan_line *lines, unsigned count);
-static bool known_red(const struct plan_line *line);
+static const struct fault *find_fault(const char *name);
+static int run_session(const struct session_line *line, uint16_t base_port);
+static int run_sessions(const struct session_line *lines, unsigned count);
+static bool is_known_failure(const struct session_line *line);
 static void line_print(
-    const struct plan_line *line, char *text, size_t room_bytes);
+    const struct session_line *line, char *text, size_t capacity_bytes);
 
 int
 main(int argc, char **argv)
 {
-	static struct plan_line lines[SESSIONS_MAX];
+	static struct session_line lines[SESSIONS_MAX];
 	unsigned i, count = 0, state = (unsigned)time(NULL);
 
 	kwb_log_init("faults", KWB_LOG_ERROR);
@@ -77,16 +78,16 @@
 				.name;
 			lines[i].seed = (unsigned)rand_r(&state);
 		}
-		return run_all(lines, count);
+		return run_sessions(lines, count);
 	}
 	if (argc > 1) {
 		const char *last = argv[argc - 1];
 
 		lines[0].first = argv[1];
-		lines[0].seed = fault_find(last) ? 1 : strtoull(last, NULL, 10);
-		if (argc > 2 && fault_find(argv[2]))
+		lines[0].seed = find_fault(last) ? 1 : strtoull(last, NULL, 10);
+		if (argc > 2 && find_fault(argv[2]))
 			lines[0].second = argv[2];
-		return run_one(&lines[0], BASE_PORT);
+		return run_session(&lines[0], BASE_PORT);
 	}
 	for (i = 0; i < session_faults_count; i++) {
 		lines[count].first = session_faults[i].name;
@@ -94,11 +95,11 @@
 	}
 	for (i = 0; i < sizeof(pairs) / sizeof(pairs[0]); i++)
 		lines[count++] = pairs[i];
-	return run_all(lines, count);
+	return run_sessions(lines, count);
 }
 
 static const struct fault *
-fault_find(const char *name)
+find_fault(const char *name)
 {
 	unsigned i;
 
@@ -108,8 +109,9 @@
 	return NULL;
 }
 
+/* Runs a session and prints its result. Returns 0, 1 failed or 2 misused. */
 static int
-run_one(const struct plan_line *line, uint16_t base_port)
+run_session(const struct session_line *line, uint16_t base_port)
 {
 	static struct session session;
 	char text[128];
@@ -117,94 +119,99 @@
 	bool passed;
 
 	line_print(line, text, sizeof(text));
-	if (fault_find(line->first) == NULL && strcmp(line->first, "none")) {
-		fprintf(stderr, "no fault %s\n", line->first);
+	if (find_fault(line->first) == NULL && strcmp(line->first, "none")) {
+		fprintf(stderr, "unknown fault \"%s\"\n", line->first);
 		return 2;
 	}
-	passed = session_run(&session, fault_find(line->first),
-	    fault_find(line->second), line->seed, base_port);
+	passed = session_run(&session, find_fault(line->first),
+	    find_fault(line->second), line->seed, base_port);
 	printf("%s %-40s steps=%u samples=%u answers=%u refused=%u orders=%u "
 	       "step_after_ms=%u order_after_ms=%u\n",
-	    passed ? "ok    " : "FAILED", text, session.steps, session.samples,
-	    session.answers, session.refused, session.orders_count,
-	    (unsigned)(session.step_after_ns / KWB_MS_NS),
-	    (unsigned)(session.order_after_ns / KWB_MS_NS));
-	for (i = 0; i < session.reasons_count; i++)
-		printf("         %s\n", session.reasons[i]);
+	    passed ? "ok    " : "FAILED", text, session.complete_steps,
+	    session.samples, session.answers, session.refused_requests,
+	    session.orders_count,
+	    (unsigned)(session.step_recovery_ns / KWB_MS_NS),
+	    (unsigned)(session.order_recovery_ns / KWB_MS_NS));
+	for (i = 0; i < session.failures_count; i++)
+		printf("         %s\n", session.failures[i]);
 	if (!passed)
 		printf(
 		    "         again with: build/tests/faults %s; logs in %s\n",
-		    text, session.world.directory);
+		    text, session.cluster.directory);
 	fflush(stdout);
 	return passed ? 0 : 1;
 }
 
-/* Runs several sessions at a time, each in a process with its own ports. */
+/*
+ * Runs PARALLEL_SESSIONS sessions at a time, each in a process and on ports of
+ * its own. Returns 0 when all passed but for known failures, otherwise 1.
+ */
 static int
-run_all(const struct plan_line *lines, unsigned count)
+run_sessions(const struct session_line *lines, unsigned count)
 {
-	pid_t pids[SLOTS] = {0};
-	unsigned running_line[SLOTS] = {0}, next = 0, done = 0, slot;
-	unsigned passed = 0, failed = 0, red = 0;
+	pid_t pids[PARALLEL_SESSIONS] = {0};
+	unsigned running_line[PARALLEL_SESSIONS] = {0}, next = 0, done = 0,
+		 slot;
+	unsigned passed = 0, failed = 0, known_failures = 0;
 	int status;
 	pid_t pid;
 
 	fflush(stdout);
 	while (done < count) {
-		for (slot = 0; slot < SLOTS; slot++) {
+		for (slot = 0; slot < PARALLEL_SESSIONS; slot++) {
 			if (pids[slot] != 0 || next == count)
 				continue;
 			running_line[slot] = next;
 			pids[slot] = fork();
 			if (pids[slot] == 0)
-				_exit(run_one(&lines[next],
+				_exit(run_session(&lines[next],
 				    (uint16_t)(BASE_PORT +
-					slot * WORLD_PORTS)));
+					slot * CLUSTER_PORTS_COUNT)));
 			next++;
 		}
 		pid = wait(&status);
-		for (slot = 0; slot < SLOTS; slot++) {
+		for (slot = 0; slot < PARALLEL_SESSIONS; slot++) {
 			if (pids[slot] != pid)
 				continue;
 			pids[slot] = 0;
 			done++;
 			if (WIFEXITED(status) && WEXITSTATUS(status) == 0)
 				passed++;
-			else if (known_red(&lines[running_line[slot]]))
-				red++;
+			else if (is_known_failure(&lines[running_line[slot]]))
+				known_failures++;
 			else
 				failed++;
 		}
 	}
 	printf("fault sessions: %u passed, %u failed, %u known red\n", passed,
-	    failed, red);
+	    failed, known_failures);
 	return failed > 0;
 }
 
-/* Whether the session stands in the list of known faults. */
+/* Whether the session is listed in KNOWN_FAILURES_FILE; prints it then. */
 static bool
-known_red(const struct plan_line *line)
+is_known_failure(const struct session_line *line)
 {
 	char wanted[128], text[512];
-	FILE *file = fopen(KNOWN_RED, "r");
-	bool found = false;
+	FILE *file = fopen(KNOWN_FAILURES_FILE, "r");
+	bool is_listed = false;
 
 	line_print(line, wanted, sizeof(wanted));
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strstr(text, "build/tests/faults ") != NULL &&
 		    strstr(text, wanted) != NULL)
-			found = true;
+			is_listed = true;
 	if (file != NULL)
 		fclose(file);
-	if (found)
+	if (is_listed)
 		printf("known red: %s\n", wanted);
-	return found;
+	return is_listed;
 }
 
 static void
-line_print(const struct plan_line *line, char *text, size_t room_bytes)
+line_print(const struct session_line *line, char *text, size_t capacity_bytes)
 {
-	snprintf(text, room_bytes, "%s%s%s %llu", line->first,
+	snprintf(text, capacity_bytes, "%s%s%s %llu", line->first,
 	    line->second ? " " : "", line->second ? line->second : "",
 	    (unsigned long long)line->seed);
 }
--- a/tests/fuzz/exchange.h
+++ b/tests/fuzz/exchange.h
@@ -1,5 +1,5 @@
 /*
- * Feeds bytes to a connection, in pieces, as a peer would send them.
+ * Feeds bytes to an HTTP connection in chunks, as a peer would send them.
  */
 #ifndef KWB_TESTS_FUZZ_EXCHANGE_H
 #define KWB_TESTS_FUZZ_EXCHANGE_H
@@ -14,17 +14,17 @@
 #include "fuzz.h"
 #include "kwb_node.h"
 
-#define PIECE_MAX_BYTES 4096
-#define LOOPS_MAX 64 /* of the event loop, until all has been read */
+#define CHUNK_MAX_BYTES 4096
+#define EVENT_LOOP_ROUNDS_MAX 64 /* until all bytes have been read */
 
 struct fuzz_conn {
 	struct kwb_conn conn;
 	void (*on_message)(const struct kwb_message *message);
-	bool closed;
+	bool is_closed;
 };
 
 static void
-fuzz_message(struct kwb_conn *conn)
+fuzz_on_message(struct kwb_conn *conn)
 {
 	struct fuzz_conn *fuzz = conn->context;
 
@@ -33,27 +33,31 @@
 }
 
 static void
-fuzz_close(struct kwb_conn *conn, int error)
+fuzz_on_close(struct kwb_conn *conn, int error)
 {
 	struct fuzz_conn *fuzz = conn->context;
 
 	(void)error;
-	fuzz->closed = true;
+	fuzz->is_closed = true;
 }
 
 static const struct kwb_conn_ops fuzz_ops = {
-    .on_message = fuzz_message, .on_close = fuzz_close};
+    .on_message = fuzz_on_message, .on_close = fuzz_on_close};
 
-/* The first byte says in pieces of which length the others come. */
+/*
+ * Sends the bytes behind the first to a connection, which calls on_message for
+ * each complete message. The first byte is the length of the chunks; 0 stands
+ * for CHUNK_MAX_BYTES.
+ */
 static void
 fuzz_feed(const uint8_t *data, size_t length_bytes, bool is_server,
     void (*on_message)(const struct kwb_message *message))
 {
 	static struct event_base *base;
 	struct fuzz_conn fuzz = {.on_message = on_message};
-	size_t piece;
-	size_t at = 1;
-	int ends[2];
+	size_t chunk_bytes;
+	size_t offset = 1;
+	int sockets[2];
 	unsigned i;
 
 	if (base == NULL) {
@@ -61,9 +65,10 @@
 		base = event_base_new();
 	}
 	if (length_bytes < 2 ||
-	    socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) != 0)
+	    socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, sockets) != 0)
 		return;
-	if (kwb_conn_accept(&fuzz.conn, base, ends[0], &fuzz_ops, &fuzz) != 0)
+	if (kwb_conn_accept(&fuzz.conn, base, sockets[0], &fuzz_ops, &fuzz) !=
+	    0)
 		abort();
 	fuzz.conn.head_max_bytes = 8192;
 	fuzz.conn.body_max_bytes = 65536;
@@ -72,18 +77,20 @@
 		http_parser_init(&fuzz.conn.parser, HTTP_RESPONSE);
 		fuzz.conn.parser.data = &fuzz.conn;
 	}
-	piece = data[0] == 0 ? PIECE_MAX_BYTES : data[0];
-	for (i = 0; i < LOOPS_MAX && at < length_bytes && !fuzz.closed; i++) {
-		size_t left = length_bytes - at;
-		ssize_t sent =
-		    write(ends[1], data + at, left < piece ? left : piece);
+	chunk_bytes = data[0] == 0 ? CHUNK_MAX_BYTES : data[0];
+	for (i = 0; i < EVENT_LOOP_ROUNDS_MAX && offset < length_bytes &&
+	     !fuzz.is_closed;
+	     i++) {
+		size_t left = length_bytes - offset;
+		ssize_t sent = write(sockets[1], data + offset,
+		    left < chunk_bytes ? left : chunk_bytes);
 
 		if (sent > 0)
-			at += (size_t)sent;
+			offset += (size_t)sent;
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	}
-	close(ends[1]);
-	if (!fuzz.closed)
+	close(sockets[1]);
+	if (!fuzz.is_closed)
 		event_base_loop(base, EVLOOP_NONBLOCK);
 	kwb_conn_finish(&fuzz.conn);
 	event_base_loop(base, EVLOOP_NONBLOCK);
--- a/tests/fuzz/frame.c
+++ b/tests/fuzz/frame.c
@@ -1,6 +1,6 @@
 /*
- * Fuzz target: frames of the inner protocol, as they come, and what is read is
- * written and read again.
+ * Fuzz target: frames between entries and agents. A frame that can be unpacked
+ * must be one again after packing.
  */
 #include <stdlib.h>
 
@@ -8,7 +8,7 @@
 #include "fuzz.h"
 
 static void
-frame_again(const struct Kwb__Wire__Frame *frame)
+repack_frame(const struct Kwb__Wire__Frame *frame)
 {
 	struct Kwb__Wire__Frame *again = NULL;
 	struct kwb_buf out;
@@ -31,7 +31,7 @@
 	if (kwb_buf_add(&in, data, length_bytes) != 0)
 		abort();
 	while (kwb_frame_unpack(&in, &frame) == 1) {
-		frame_again(frame);
+		repack_frame(frame);
 		kwb_frame_free(frame);
 	}
 	kwb_buf_finish(&in);
