--- a/tests/platform/port.c
+++ b/tests/platform/port.c
@@ -10,106 +10,109 @@
 #include "stage.h"
 
 static void
-peer_free(struct stage_peer *peer)
+http_session_free(struct http_session *session)
 {
-	if (peer->port->on_gone != NULL)
-		peer->port->on_gone(peer);
-	TAILQ_REMOVE(&peer->port->peers, peer, entry);
-	if (peer->timer != NULL)
-		event_free(peer->timer);
-	kwb_conn_finish(&peer->conn);
-	free(peer);
+	if (session->listener->on_close != NULL)
+		session->listener->on_close(session);
+	TAILQ_REMOVE(&session->listener->sessions, session, entry);
+	if (session->timer != NULL)
+		event_free(session->timer);
+	kwb_conn_finish(&session->conn);
+	free(session);
 }
 
 void
-peer_close(struct stage_peer *peer, bool reset)
+http_session_close(struct http_session *session, bool reset)
 {
-	struct linger hard = {.l_onoff = 1, .l_linger = 0};
+	struct linger reset_on_close = {.l_onoff = 1, .l_linger = 0};
 
 	if (reset)
-		setsockopt(bufferevent_getfd(peer->conn.bev), SOL_SOCKET,
-		    SO_LINGER, &hard, sizeof(hard));
-	peer_free(peer);
+		setsockopt(bufferevent_getfd(session->conn.bev), SOL_SOCKET,
+		    SO_LINGER, &reset_on_close, sizeof(reset_on_close));
+	http_session_free(session);
 }
 
 static void
-on_message(struct kwb_conn *conn)
+session_on_message(struct kwb_conn *conn)
 {
-	struct stage_peer *peer = conn->context;
+	struct http_session *session = conn->context;
 
-	peer->port->on_request(peer);
+	session->listener->on_request(session);
 }
 
 static void
-on_close(struct kwb_conn *conn, int error)
+session_on_close(struct kwb_conn *conn, int error)
 {
 	(void)error;
-	peer_free(conn->context);
+	http_session_free(conn->context);
 }
 
-static const struct kwb_conn_ops peer_ops = {
-    .on_message = on_message,
-    .on_close = on_close,
+static const struct kwb_conn_ops session_ops = {
+    .on_message = session_on_message,
+    .on_close = session_on_close,
 };
 
 static void
-on_accept(struct evconnlistener *listener, int fd, struct sockaddr *from,
-    int from_bytes, void *context)
+listener_on_accept(struct evconnlistener *ev_listener, int fd,
+    struct sockaddr *from, int from_bytes, void *context)
 {
-	struct stage_port *port = context;
-	struct stage_peer *peer = calloc(1, sizeof(*peer));
+	struct http_listener *listener = context;
+	struct http_session *session = calloc(1, sizeof(*session));
 
-	(void)listener;
+	(void)ev_listener;
 	(void)from;
 	(void)from_bytes;
-	peer->port = port;
-	if (kwb_conn_accept(&peer->conn, port->base, fd, &peer_ops, peer) != 0)
+	session->listener = listener;
+	if (kwb_conn_accept(
+		&session->conn, listener->base, fd, &session_ops, session) != 0)
 		abort();
-	TAILQ_INSERT_TAIL(&port->peers, peer, entry);
+	TAILQ_INSERT_TAIL(&listener->sessions, session, entry);
 }
 
 int
-port_open(struct stage_port *port, struct event_base *base,
-    void (*on_request)(struct stage_peer *peer),
-    void (*on_gone)(struct stage_peer *peer), void *context)
+http_listener_open(struct http_listener *listener, struct event_base *base,
+    void (*on_request)(struct http_session *session),
+    void (*on_close)(struct http_session *session), void *context)
 {
-	struct sockaddr_in at = {.sin_family = AF_INET};
-	socklen_t length = sizeof(at);
+	struct sockaddr_in address = {.sin_family = AF_INET};
+	socklen_t length = sizeof(address);
 
-	memset(port, 0, sizeof(*port));
-	TAILQ_INIT(&port->peers);
-	port->base = base;
-	port->on_request = on_request;
-	port->on_gone = on_gone;
-	port->context = context;
-	inet_pton(AF_INET, "127.0.0.1", &at.sin_addr);
-	port->listener = evconnlistener_new_bind(base, on_accept, port,
-	    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 128,
-	    (struct sockaddr *)&at, sizeof(at));
-	if (port->listener == NULL)
+	memset(listener, 0, sizeof(*listener));
+	TAILQ_INIT(&listener->sessions);
+	listener->base = base;
+	listener->on_request = on_request;
+	listener->on_close = on_close;
+	listener->context = context;
+	inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
+	listener->ev_listener =
+	    evconnlistener_new_bind(base, listener_on_accept, listener,
+		LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 128,
+		(struct sockaddr *)&address, sizeof(address));
+	if (listener->ev_listener == NULL)
 		return KWB_ERR_SYSTEM;
-	getsockname(evconnlistener_get_fd(port->listener),
-	    (struct sockaddr *)&at, &length);
-	kwb_text_copy(port->address.ip, sizeof(port->address.ip), "127.0.0.1");
-	port->address.port = ntohs(at.sin_port);
+	getsockname(evconnlistener_get_fd(listener->ev_listener),
+	    (struct sockaddr *)&address, &length);
+	kwb_text_copy(
+	    listener->address.ip, sizeof(listener->address.ip), "127.0.0.1");
+	listener->address.port = ntohs(address.sin_port);
 	return 0;
 }
 
 void
-port_close(struct stage_port *port)
+http_listener_close(struct http_listener *listener)
 {
-	if (port->listener != NULL)
-		evconnlistener_free(port->listener);
-	port->listener = NULL;
-	while (!TAILQ_EMPTY(&port->peers))
-		peer_free(TAILQ_FIRST(&port->peers));
+	if (listener->ev_listener != NULL)
+		evconnlistener_free(listener->ev_listener);
+	listener->ev_listener = NULL;
+	while (!TAILQ_EMPTY(&listener->sessions))
+		http_session_free(TAILQ_FIRST(&listener->sessions));
 }
 
 void
-peer_answer(struct stage_peer *peer, unsigned status, const char *headers,
-    const void *body, size_t body_bytes)
+http_session_answer(struct http_session *session, unsigned status,
+    const char *headers, const void *body, size_t body_bytes)
 {
-	struct evbuffer *out = kwb_conn_output(&peer->conn);
+	struct evbuffer *out = kwb_conn_output(&session->conn);
 
 	evbuffer_add_printf(out,
 	    "HTTP/1.1 %u %s\r\n%sKeep-Alive: timeout=10\r\n"
@@ -117,5 +120,5 @@
 	    status, http_status_str((enum http_status)status), headers,
 	    body_bytes);
 	evbuffer_add(out, body, body_bytes);
-	kwb_conn_read_next(&peer->conn);
+	kwb_conn_read_next(&session->conn);
 }
--- a/tests/platform/proxy.c
+++ b/tests/platform/proxy.c
@@ -14,56 +14,56 @@
 
 struct proxy_pair {
 	struct proxy *proxy;
-	struct bufferevent *near; /* to who connected */
-	struct bufferevent *far;  /* to the target */
-	struct event *timer;	  /* passes delayed bytes on */
-	bool silent;
+	struct bufferevent *client_side; /* to who connected */
+	struct bufferevent *target_side; /* to the target */
+	struct event *timer;		 /* passes delayed bytes on */
+	bool is_frozen;
 	TAILQ_ENTRY(proxy_pair) entry;
 };
 
 static void
 pair_free(struct proxy_pair *pair, bool reset)
 {
-	struct linger hard = {.l_onoff = 1, .l_linger = 0};
+	struct linger reset_on_close = {.l_onoff = 1, .l_linger = 0};
 
 	if (reset)
-		setsockopt(bufferevent_getfd(pair->near), SOL_SOCKET, SO_LINGER,
-		    &hard, sizeof(hard));
+		setsockopt(bufferevent_getfd(pair->client_side), SOL_SOCKET,
+		    SO_LINGER, &reset_on_close, sizeof(reset_on_close));
 	TAILQ_REMOVE(&pair->proxy->pairs, pair, entry);
-	bufferevent_free(pair->near);
-	bufferevent_free(pair->far);
+	bufferevent_free(pair->client_side);
+	bufferevent_free(pair->target_side);
 	event_free(pair->timer);
 	free(pair);
 }
 
 static void
-pass(struct bufferevent *from, struct bufferevent *to)
+forward_bytes(struct bufferevent *from, struct bufferevent *to)
 {
 	bufferevent_write_buffer(to, bufferevent_get_input(from));
 }
 
 static void
-pair_pass(struct proxy_pair *pair)
+pair_forward(struct proxy_pair *pair)
 {
 	enum proxy_mode mode = pair->proxy->mode;
 
-	if (pair->silent || mode == PROXY_CUT)
+	if (pair->is_frozen || mode == PROXY_BLACKHOLE)
 		return;
-	pass(pair->near, pair->far);
-	if (mode != PROXY_ONEWAY)
-		pass(pair->far, pair->near);
+	forward_bytes(pair->client_side, pair->target_side);
+	if (mode != PROXY_DROP_REPLIES)
+		forward_bytes(pair->target_side, pair->client_side);
 }
 
 static void
-on_time(int fd, short what, void *context)
+pair_on_timer(int fd, short what, void *context)
 {
 	(void)fd;
 	(void)what;
-	pair_pass(context);
+	pair_forward(context);
 }
 
 static void
-on_read(struct bufferevent *bev, void *context)
+pair_on_read(struct bufferevent *bev, void *context)
 {
 	struct proxy_pair *pair = context;
 
@@ -72,27 +72,28 @@
 		kwb_timer_arm(
 		    pair->timer, kwb_clock_now_ns() + DELAY_MS * KWB_MS_NS);
 	else
-		pair_pass(pair);
+		pair_forward(pair);
 }
 
 static void
-on_event(struct bufferevent *bev, short what, void *context)
+pair_on_event(struct bufferevent *bev, short what, void *context)
 {
 	struct proxy_pair *pair = context;
 
 	if (what & BEV_EVENT_CONNECTED)
 		return;
-	if (pair->silent || pair->proxy->mode == PROXY_CUT)
+	if (pair->is_frozen || pair->proxy->mode == PROXY_BLACKHOLE)
 		return;
 	/* What has arrived goes out before the close. */
-	pair_pass(pair);
+	pair_forward(pair);
 	bufferevent_flush(
-	    bev == pair->near ? pair->far : pair->near, EV_WRITE, BEV_FINISHED);
+	    bev == pair->client_side ? pair->target_side : pair->client_side,
+	    EV_WRITE, BEV_FINISHED);
 	pair_free(pair, (what & BEV_EVENT_ERROR) != 0);
 }
 
 static void
-on_accept(struct evconnlistener *listener, int fd, struct sockaddr *from,
+proxy_on_accept(struct evconnlistener *listener, int fd, struct sockaddr *from,
     int from_bytes, void *context)
 {
 	struct proxy *proxy = context;
@@ -105,18 +106,20 @@
 	(void)from_bytes;
 	inet_pton(AF_INET, proxy->target.ip, &to.sin_addr);
 	pair->proxy = proxy;
-	pair->near =
+	pair->client_side =
 	    bufferevent_socket_new(proxy->base, fd, BEV_OPT_CLOSE_ON_FREE);
-	pair->far =
+	pair->target_side =
 	    bufferevent_socket_new(proxy->base, -1, BEV_OPT_CLOSE_ON_FREE);
-	pair->timer = kwb_timer_new(proxy->base, on_time, pair);
+	pair->timer = kwb_timer_new(proxy->base, pair_on_timer, pair);
 	TAILQ_INSERT_TAIL(&proxy->pairs, pair, entry);
-	bufferevent_setcb(pair->near, on_read, NULL, on_event, pair);
-	bufferevent_setcb(pair->far, on_read, NULL, on_event, pair);
+	bufferevent_setcb(
+	    pair->client_side, pair_on_read, NULL, pair_on_event, pair);
+	bufferevent_setcb(
+	    pair->target_side, pair_on_read, NULL, pair_on_event, pair);
 	bufferevent_socket_connect(
-	    pair->far, (struct sockaddr *)&to, sizeof(to));
-	bufferevent_enable(pair->near, EV_READ | EV_WRITE);
-	bufferevent_enable(pair->far, EV_READ | EV_WRITE);
+	    pair->target_side, (struct sockaddr *)&to, sizeof(to));
+	bufferevent_enable(pair->client_side, EV_READ | EV_WRITE);
+	bufferevent_enable(pair->target_side, EV_READ | EV_WRITE);
 	if (proxy->mode == PROXY_RESET)
 		pair_free(pair, true);
 }
@@ -125,29 +128,29 @@
 proxy_open(struct proxy *proxy, struct event_base *base,
     const struct kwb_address *target)
 {
-	struct sockaddr_in at = {.sin_family = AF_INET};
-	socklen_t length = sizeof(at);
+	struct sockaddr_in address = {.sin_family = AF_INET};
+	socklen_t length = sizeof(address);
 
 	memset(proxy, 0, sizeof(*proxy));
 	TAILQ_INIT(&proxy->pairs);
 	proxy->base = base;
 	proxy->target = *target;
-	inet_pton(AF_INET, "127.0.0.1", &at.sin_addr);
-	proxy->listener = evconnlistener_new_bind(base, on_accept, proxy,
+	inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
+	proxy->listener = evconnlistener_new_bind(base, proxy_on_accept, proxy,
 	    LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 128,
-	    (struct sockaddr *)&at, sizeof(at));
+	    (struct sockaddr *)&address, sizeof(address));
 	if (proxy->listener == NULL)
 		return KWB_ERR_SYSTEM;
 	getsockname(evconnlistener_get_fd(proxy->listener),
-	    (struct sockaddr *)&at, &length);
+	    (struct sockaddr *)&address, &length);
 	kwb_text_copy(
 	    proxy->address.ip, sizeof(proxy->address.ip), "127.0.0.1");
-	proxy->address.port = ntohs(at.sin_port);
+	proxy->address.port = ntohs(address.sin_port);
 	return 0;
 }
 
 void
-proxy_set(struct proxy *proxy, enum proxy_mode mode)
+proxy_set_mode(struct proxy *proxy, enum proxy_mode mode)
 {
 	struct proxy_pair *pair = TAILQ_FIRST(&proxy->pairs);
 	struct proxy_pair *next;
@@ -157,10 +160,10 @@
 		next = TAILQ_NEXT(pair, entry);
 		if (mode == PROXY_RESET)
 			pair_free(pair, true);
-		else if (mode == PROXY_SILENT)
-			pair->silent = true;
-		else if (mode == PROXY_PASS)
-			pair_pass(pair);
+		else if (mode == PROXY_FREEZE_OPEN)
+			pair->is_frozen = true;
+		else if (mode == PROXY_FORWARD)
+			pair_forward(pair);
 	}
 }
 
--- a/tests/platform/proxy.h
+++ b/tests/platform/proxy.h
@@ -9,13 +9,13 @@
 #include "kwb_node.h"
 
 enum proxy_mode {
-	PROXY_PASS,
-	PROXY_DELAY,  /* each piece 150 ms later */
-	PROXY_RESET,  /* resets all, and each new one */
-	PROXY_ONEWAY, /* nothing comes back any more */
-	PROXY_SILENT, /* nothing passes on what is open; new ones work */
-	PROXY_CUT,    /* nothing passes, and new ones hang */
-	PROXY_MODES
+	PROXY_FORWARD,
+	PROXY_DELAY,	    /* each piece 150 ms later */
+	PROXY_RESET,	    /* resets all, and each new one */
+	PROXY_DROP_REPLIES, /* nothing comes back any more */
+	PROXY_FREEZE_OPEN,  /* nothing passes on what is open; new ones work */
+	PROXY_BLACKHOLE,    /* nothing passes, and new ones hang */
+	PROXY_MODE_COUNT
 };
 
 struct proxy_pair;
@@ -32,7 +32,7 @@
 
 int proxy_open(struct proxy *proxy, struct event_base *base,
     const struct kwb_address *target);
-void proxy_set(struct proxy *proxy, enum proxy_mode mode);
+void proxy_set_mode(struct proxy *proxy, enum proxy_mode mode);
 void proxy_close(struct proxy *proxy);
 
 #endif
--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -1,6 +1,6 @@
 /* clang-format off: one command a line
  *
- * Scripts on the stage. A script's line that begins with "$ " is a command;
+ * Scripts on the testbed. A script's line that begins with "$ " is a command;
  * below it stands what it is expected to print.
  *
  *   $ server NAME service=S [engine=1] [slots=N] [pace=MS] [version=V] [load=MS]
@@ -47,7 +47,7 @@
 static char log_path[] = "/tmp/kwb-stage-XXXXXX";
 
 struct script {
-	struct stage stage;
+	struct testbed testbed;
 	json_t *routes;
 	char *words[WORDS_MAX];
 	unsigned words_count;
@@ -60,24 +60,24 @@
 	int error;
 };
 
-static const char *const store_faults[] = {
+static const char *const store_fault_names[] = {
     "ok", "busy", "many", "reset", "silent", "lost", "late", "mute", NULL};
-static const char *const path_modes[] = {
+static const char *const proxy_mode_names[] = {
     "ok", "delay", "reset", "oneway", "silent", "cut", NULL};
-static const char *const server_faults[] = {"ok", "refuse", "error", "never",
-    "reset", "silent", "other-id", "cut", "extra", "unframed", "garbage",
-    "no-receipt", "skip", "misdirected", "stall", "pour-head", "pour-body",
-    "pour-chunk", "pour-line", "trickle", NULL};
+static const char *const server_fault_names[] = {"ok", "refuse", "error",
+    "never", "reset", "silent", "other-id", "cut", "extra", "unframed",
+    "garbage", "no-receipt", "skip", "misdirected", "stall", "pour-head",
+    "pour-body", "pour-chunk", "pour-line", "trickle", NULL};
 
 static int
-index_of(const char *const *names, const char *name)
+name_index(const char *const *names, const char *name)
 {
 	int i;
 
 	for (i = 0; names[i] != NULL; i++)
 		if (strcmp(names[i], name) == 0)
 			return i;
-	fprintf(stderr, "no such fault: %s\n", name);
+	fprintf(stderr, "unknown fault or mode: %s\n", name);
 	exit(2);
 }
 
@@ -85,7 +85,7 @@
  * --------------------------------------------------------------------- */
 
 static void
-call_done(struct kwb_exchange *exchange, int error)
+call_on_done(struct kwb_exchange *exchange, int error)
 {
 	struct call *call = exchange->context;
 
@@ -94,12 +94,12 @@
 }
 
 static const struct kwb_exchange_ops call_ops = {
-    .on_done = call_done,
+    .on_done = call_on_done,
 };
 
 static bool
-call_run(struct stage *stage, struct call *call, const struct kwb_address *to,
-    struct evbuffer *request, unsigned leave_ms)
+call_send(struct testbed *testbed, struct call *call,
+    const struct kwb_address *to, struct evbuffer *request, unsigned leave_ms)
 {
 	uint64_t leave_ns = kwb_clock_now_ns() +
 	    (leave_ms ? leave_ms : CALL_TIMEOUT_MS) * KWB_MS_NS;
@@ -108,14 +108,14 @@
 	call->exchange.ops = &call_ops;
 	call->exchange.context = call;
 	call->exchange.wants_new_conn = true;
-	if (kwb_exchange_start(&call->exchange, &stage->client, to, request) !=
-	    0) {
+	if (kwb_exchange_start(
+		&call->exchange, &testbed->client, to, request) != 0) {
 		call->done = true;
 		call->error = KWB_ERR_NET_CONNECT;
 	}
 	evbuffer_free(request);
 	while (!call->done && kwb_clock_now_ns() < leave_ns)
-		stage_wait(stage, 1);
+		testbed_run_for(testbed, 1);
 	return call->done;
 }
 
@@ -133,7 +133,7 @@
 }
 
 static unsigned
-number(const struct script *script, const char *name, unsigned fallback)
+option_number(const struct script *script, const char *name, unsigned fallback)
 {
 	const char *text = option(script, name, NULL);
 
@@ -190,7 +190,8 @@
 static void
 run_call(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	const char *body = option(script, "body", "");
 	const char *from = option(script, "from", NULL);
 	const char *deadline = option(script, "deadline", NULL);
@@ -207,10 +208,10 @@
 		kwb_buf_printf(&headers, "Prompt-Prefix: %s\r\n", prompt);
 	if (from != NULL)
 		kwb_buf_printf(&headers, "Last-Event-Id: %s\r\n", from);
-	call_run(&script->stage, &call, &node->settings.listen,
+	call_send(&script->testbed, &call, &node->settings.listen,
 	    request_new(script->words[2], script->words[3], headers.data, body,
 		strlen(body)),
-	    number(script, "leave", 0));
+	    option_number(script, "leave", 0));
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 	kwb_buf_finish(&headers);
@@ -219,7 +220,7 @@
 /* Of the process: the most since the last reset, which begins at the present.
  */
 static uint64_t
-most_resident_bytes(bool reset)
+peak_resident_bytes(bool reset)
 {
 	char line[256];
 	unsigned long long kilobytes = 0;
@@ -239,17 +240,18 @@
 	return kilobytes * 1024;
 }
 
-#define CROWD_MAX 200
+#define CONCURRENT_CALLS_MAX 200
 
 /* Many calls at once: how they end, and what the process grows by meanwhile. */
 static void
-run_crowd(struct script *script)
+run_concurrent_calls(struct script *script)
 {
-	static struct call calls[CROWD_MAX];
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
-	unsigned count = number(script, "calls", 100);
+	static struct call calls[CONCURRENT_CALLS_MAX];
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
+	unsigned count = option_number(script, "calls", 100);
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
-	uint64_t before = most_resident_bytes(true);
+	uint64_t before = peak_resident_bytes(true);
 	uint64_t most;
 	unsigned whole = 0;
 	unsigned done = 0;
@@ -257,7 +259,7 @@
 	unsigned i;
 
 	memset(calls, 0, sizeof(calls));
-	for (i = 0; i < count && i < CROWD_MAX; i++) {
+	for (i = 0; i < count && i < CONCURRENT_CALLS_MAX; i++) {
 		struct evbuffer *request;
 
 		snprintf(headers, sizeof(headers),
@@ -268,17 +270,17 @@
 		calls[i].exchange.context = &calls[i];
 		calls[i].exchange.wants_new_conn = true;
 		if (kwb_exchange_start(&calls[i].exchange,
-			&script->stage.client, &node->settings.listen,
+			&script->testbed.client, &node->settings.listen,
 			request) != 0)
 			calls[i].done = true;
 		evbuffer_free(request);
 	}
 	while (done < count && kwb_clock_now_ns() < end_ns) {
-		stage_wait(&script->stage, 2);
+		testbed_run_for(&script->testbed, 2);
 		for (i = 0, done = 0; i < count; i++)
 			done += calls[i].done;
 	}
-	most = most_resident_bytes(false);
+	most = peak_resident_bytes(false);
 	for (i = 0; i < count; i++) {
 		whole += calls[i].done &&
 		    kwb_exchange_answer(&calls[i].exchange)->status == 200;
@@ -286,28 +288,29 @@
 	}
 	kwb_buf_printf(&script->out, "%u ended, %u with 200, %s %u MB\n", done,
 	    whole,
-	    most - before < number(script, "mb", 64) * 1048576ull
+	    most - before < option_number(script, "mb", 64) * 1048576ull
 		? "grew by less than"
 		: "grew by more than",
-	    number(script, "mb", 64));
+	    option_number(script, "mb", 64));
 }
 
 static void
-simple_call(struct script *script, struct call *call, const char *node,
+call_node(struct script *script, struct call *call, const char *node,
     const char *method, const char *target, const char *more, const char *body)
 {
-	struct stage_node *at = stage_node(&script->stage, node);
+	struct testbed_node *target_node = testbed_node(&script->testbed, node);
 	char headers[256];
 
 	snprintf(headers, sizeof(headers), "Host: " HOST "\r\n%s", more);
-	call_run(&script->stage, call, &at->settings.listen,
+	call_send(&script->testbed, call, &target_node->settings.listen,
 	    request_new(method, target, headers, body, strlen(body)), 0);
 }
 
 static void
 run_raw(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	struct evbuffer *out = evbuffer_new();
 	struct call call;
 	const char *at;
@@ -319,7 +322,7 @@
 		} else {
 			evbuffer_add(out, *at == '_' ? " " : at, 1);
 		}
-	call_run(&script->stage, &call, &node->settings.listen, out, 6000);
+	call_send(&script->testbed, &call, &node->settings.listen, out, 6000);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -330,8 +333,8 @@
 static char *
 batch_body(struct script *script, const char *batch)
 {
-	unsigned items = number(script, "items", 4);
-	unsigned size = number(script, "size", 2);
+	unsigned items = option_number(script, "items", 4);
+	unsigned size = option_number(script, "size", 2);
 	json_t *requests = json_array();
 	struct kwb_buf body;
 	char text[64];
@@ -348,7 +351,7 @@
 		snprintf(score, sizeof(score), "%s-s%u", batch, i);
 		snprintf(group, sizeof(group), "g%u", i / size);
 		snprintf(text, sizeof(text), "events=%u",
-		    number(script, "events", 4));
+		    option_number(script, "events", 4));
 		kwb_base64_encode(&body, text, strlen(text));
 		json_array_append_new(requests,
 		    json_pack("{s:s, s:s, s:{s:s}, s:s, s:i, s:s, s:{s:s, s:s, "
@@ -359,10 +362,11 @@
 			"/score/x", "body", "c2NvcmU="));
 		kwb_buf_finish(&body);
 	}
-	document = json_pack("{s:i, s:s, s:i, s:i, s:o}", "step", 0, "model",
-	    "m", "min-version", number(script, "min", 1), "target-groups",
-	    number(script, "target", (items + size - 1) / size), "requests",
-	    requests);
+	document =
+	    json_pack("{s:i, s:s, s:i, s:i, s:o}", "step", 0, "model", "m",
+		"min-version", option_number(script, "min", 1), "target-groups",
+		option_number(script, "target", (items + size - 1) / size),
+		"requests", requests);
 	out = json_dumps(document, JSON_COMPACT);
 	json_decref(document);
 	return out;
@@ -377,7 +381,7 @@
 	struct call call;
 
 	snprintf(more, sizeof(more), "Attempt-Id: %s\r\n", batch);
-	simple_call(
+	call_node(
 	    script, &call, script->words[1], "POST", "/gen/x", more, body);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
@@ -435,7 +439,7 @@
 	while (next < total && kwb_clock_now_ns() < end_ns) {
 		snprintf(target, sizeof(target), "/lots/%s?after=%u",
 		    script->words[2], next);
-		simple_call(script, &call, script->words[1], "GET", target,
+		call_node(script, &call, script->words[1], "GET", target,
 		    "Wait-Ms: 500\r\n", "");
 		status = kwb_exchange_answer(&call.exchange)->status;
 		document = json_loads(
@@ -453,7 +457,7 @@
 		if (status == 404)
 			break;
 		if (status != 200)
-			stage_wait(&script->stage, 100);
+			testbed_run_for(&script->testbed, 100);
 	}
 	kwb_buf_printf(
 	    &script->out, "%u, %u of %u listed\n", status, next, total);
@@ -471,7 +475,7 @@
 	struct call call;
 
 	snprintf(target, sizeof(target), "/lots/%s", script->words[2]);
-	simple_call(script, &call, script->words[1], "DELETE", target, "", "");
+	call_node(script, &call, script->words[1], "DELETE", target, "", "");
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -484,7 +488,7 @@
 
 	snprintf(target, sizeof(target), "/items/%s?id=%s", script->words[2],
 	    script->words[3]);
-	simple_call(script, &call, script->words[1], "GET", target, "", "");
+	call_node(script, &call, script->words[1], "GET", target, "", "");
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -495,17 +499,17 @@
 static void
 run_server(struct script *script)
 {
-	struct stage_server *server =
-	    stage_server(&script->stage, script->words[1]);
+	struct testbed_server *server =
+	    testbed_server(&script->testbed, script->words[1]);
 
 	kwb_text_copy(server->service, sizeof(server->service),
 	    option(script, "service", "shop"));
-	server->engine = number(script, "engine", 0) != 0;
-	server->slots = number(script, "slots", 4);
-	server->pace_ms = number(script, "pace", 10);
-	server->load_ms = number(script, "load", 900);
-	server->version = number(script, "version", 1);
-	server_open(server, &script->stage);
+	server->engine = option_number(script, "engine", 0) != 0;
+	server->slots = option_number(script, "slots", 4);
+	server->pace_ms = option_number(script, "pace", 10);
+	server->load_ms = option_number(script, "load", 900);
+	server->version = option_number(script, "version", 1);
+	testbed_server_open(server, &script->testbed);
 }
 
 static void
@@ -517,13 +521,13 @@
 	    "name", script->words[1], "hostname", option(script, "host", HOST),
 	    "route-kind", script->words[2], "path-prefix", script->words[3],
 	    "service", script->words[4], "max-attempts",
-	    number(script, "attempts", 2), "timeout-ms",
-	    number(script, "timeout", 1000), "target-latency-ms",
-	    number(script, "target", 150), "item-ttl-s",
-	    number(script, "ttl", 40), "run-deadline-ms", 7500,
-	    "single-version", number(script, "single", 0), "resumable",
-	    number(script, "resumable", 0), "sticky",
-	    number(script, "sticky", 0));
+	    option_number(script, "attempts", 2), "timeout-ms",
+	    option_number(script, "timeout", 1000), "target-latency-ms",
+	    option_number(script, "target", 150), "item-ttl-s",
+	    option_number(script, "ttl", 40), "run-deadline-ms", 7500,
+	    "single-version", option_number(script, "single", 0), "resumable",
+	    option_number(script, "resumable", 0), "sticky",
+	    option_number(script, "sticky", 0));
 	const char *colon = split ? strchr(split, ':') : NULL;
 
 	if (colon != NULL)
@@ -554,65 +558,68 @@
 	    "version", atoi(script->words[1]), "route-table", script->routes,
 	    "services", "name", "shop", "name", "engine", "engine", "slots", 4,
 	    "models", "name", "m", "limits", "max-header-bytes", 4096,
-	    "max-body-bytes", number(script, "body", 100000),
+	    "max-body-bytes", option_number(script, "body", 100000),
 	    "header-timeout-ms", 500, "idle-timeout-ms", 15000);
 	char *text = json_dumps(document, JSON_COMPACT);
 
-	stage_store_put(&script->stage.store, "op", "config", text);
+	testbed_store_put(&script->testbed.store, "op", "config", text);
 	free(text);
 	json_decref(document);
-	stage_wait(&script->stage, 60);
+	testbed_run_for(&script->testbed, 60);
 }
 
 static void
-run_name(struct script *script)
+run_set_version(struct script *script)
 {
 	char text[64];
 
 	snprintf(text, sizeof(text), "{\"model\":\"m\",\"version\":%s}",
 	    script->words[1]);
-	stage_store_put(&script->stage.store, "op", "version/m", text);
+	testbed_store_put(&script->testbed.store, "op", "version/m", text);
 }
 
 static void
 run_node(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	uint64_t end_ns = kwb_clock_now_ns() + 1000 * KWB_MS_NS;
 
-	node->alone = number(script, "peers", 1) == 0;
-	stage_node_start(node);
-	node->settings.batch_keep_ms = number(script, "keep", 120000);
-	node->settings.row_max_bytes = number(script, "row", 65536);
+	node->has_no_peers = option_number(script, "peers", 1) == 0;
+	testbed_node_start(node);
+	node->settings.batch_keep_ms = option_number(script, "keep", 120000);
+	node->settings.row_max_bytes = option_number(script, "row", 65536);
 	while (node->node.config == NULL && kwb_clock_now_ns() < end_ns)
-		stage_wait(&script->stage, 5);
-	stage_wait(&script->stage, 40);
+		testbed_run_for(&script->testbed, 5);
+	testbed_run_for(&script->testbed, 40);
 }
 
 static void
 run_stop(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	uint64_t begin_ns = kwb_clock_now_ns();
 
 	kwb_node_stop(&node->node);
-	if (number(script, "wait", 1) == 0)
+	if (option_number(script, "wait", 1) == 0)
 		return;
-	while (
-	    node->running && kwb_clock_now_ns() - begin_ns < 9000 * KWB_MS_NS)
-		stage_wait(&script->stage, 10);
-	kwb_buf_printf(
-	    &script->out, "%s\n", node->running ? "still running" : "stopped");
-	stage_node_kill(node);
+	while (node->is_running &&
+	    kwb_clock_now_ns() - begin_ns < 9000 * KWB_MS_NS)
+		testbed_run_for(&script->testbed, 10);
+	kwb_buf_printf(&script->out, "%s\n",
+	    node->is_running ? "still running" : "stopped");
+	testbed_node_kill(node);
 }
 
 static void
 run_ready(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	struct call call;
 
-	call_run(&script->stage, &call, &node->settings.ready,
+	call_send(&script->testbed, &call, &node->settings.ready,
 	    request_new("GET", "/readyz", "Host: x\r\n", "", 0), 0);
 	kwb_buf_printf(
 	    &script->out, "%u\n", kwb_exchange_answer(&call.exchange)->status);
@@ -623,14 +630,15 @@
 static void
 run_metrics(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	char name[96];
 	struct call call;
 	const char *text;
 	const char *at;
 	int length;
 
-	call_run(&script->stage, &call, &node->settings.metrics,
+	call_send(&script->testbed, &call, &node->settings.metrics,
 	    request_new("GET", "/metrics", "Host: x\r\n", "", 0), 0);
 	text = kwb_buf_text(&kwb_exchange_answer(&call.exchange)->body);
 	for (at = strstr(text, "# TYPE "); at != NULL;
@@ -653,18 +661,18 @@
 static void
 run_ran(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		count += strcmp(stage->runs[i].id, script->words[1]) == 0;
+	for (i = 0; i < testbed->runs_count; i++)
+		count += strcmp(testbed->runs[i].id, script->words[1]) == 0;
 	kwb_buf_printf(&script->out, "%u", count);
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0 &&
-		    stage->runs[i].from > 0)
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0 &&
+		    testbed->runs[i].from > 0)
 			kwb_buf_printf(
-			    &script->out, " from %u", stage->runs[i].from);
+			    &script->out, " from %u", testbed->runs[i].from);
 	kwb_buf_printf(&script->out, "\n");
 }
 
@@ -672,46 +680,46 @@
 static void
 run_prompt(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
 			kwb_buf_printf(
-			    &script->out, "%s\n", stage->runs[i].prompt);
+			    &script->out, "%s\n", testbed->runs[i].prompt);
 }
 
 /* Whether the last run of an item began behind its first event. */
 static void
 run_resumed(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned from = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
-			from = stage->runs[i].from;
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
+			from = testbed->runs[i].from;
 	kwb_buf_printf(
 	    &script->out, from > 1 ? "resumed\n" : "from the first event\n");
 }
 
 /* Events of an item that a later run made once more: none beyond the most. */
 static void
-run_again(struct script *script)
+run_repeated_events(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned most = (unsigned)atoi(script->words[2]);
 	unsigned sent = 0;
 	unsigned again = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++) {
-		if (strcmp(stage->runs[i].id, script->words[1]) != 0)
+	for (i = 0; i < testbed->runs_count; i++) {
+		if (strcmp(testbed->runs[i].id, script->words[1]) != 0)
 			continue;
-		if (stage->runs[i].from <= sent)
-			again += sent + 1 - stage->runs[i].from;
-		sent = stage->runs[i].sent;
+		if (testbed->runs[i].from <= sent)
+			again += sent + 1 - testbed->runs[i].from;
+		sent = testbed->runs[i].sent;
 	}
 	if (again <= most)
 		kwb_buf_printf(&script->out, "at most %u again\n", most);
@@ -721,7 +729,8 @@
 
 /* The value of a field of a log line. */
 static void
-log_field(const char *line, const char *name, char *value, size_t room_bytes)
+log_field(
+    const char *line, const char *name, char *value, size_t value_capacity)
 {
 	const char *at = strstr(line, name);
 	size_t length;
@@ -731,8 +740,8 @@
 		return;
 	at += strlen(name);
 	length = strcspn(at, " \n");
-	if (length >= room_bytes)
-		length = room_bytes - 1;
+	if (length >= value_capacity)
+		length = value_capacity - 1;
 	memcpy(value, at, length);
 	value[length] = '\0';
 }
@@ -770,15 +779,15 @@
 static void
 run_priority(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
 			kwb_buf_printf(&script->out, "from %u priority %s\n",
-			    stage->runs[i].from,
-			    stage->runs[i].priority[0] != '\0'
-				? stage->runs[i].priority
+			    testbed->runs[i].from,
+			    testbed->runs[i].priority[0] != '\0'
+				? testbed->runs[i].priority
 				: "none");
 }
 
@@ -791,19 +800,19 @@
 }
 
 static void
-run_until_some(struct script *script)
+run_wait_version(struct script *script)
 {
-	struct stage *stage = &script->stage;
+	struct testbed *testbed = &script->testbed;
 	uint64_t wanted = strtoull(script->words[1], NULL, 10);
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
 	uint64_t newest = 0;
 	unsigned i;
 
 	while (newest < wanted && kwb_clock_now_ns() < end_ns) {
-		stage_wait(stage, 10);
-		for (i = 0; i < stage->servers_count; i++)
-			if (stage->servers[i].version > newest)
-				newest = stage->servers[i].version;
+		testbed_run_for(testbed, 10);
+		for (i = 0; i < testbed->servers_count; i++)
+			if (testbed->servers[i].version > newest)
+				newest = testbed->servers[i].version;
 	}
 	kwb_buf_printf(
 	    &script->out, "version %llu\n", (unsigned long long)newest);
@@ -811,28 +820,28 @@
 
 /* Over all upstreams: orders so far, or requests that run. */
 static void
-run_sum(struct script *script)
+run_totals(struct script *script)
 {
 	bool orders = strcmp(script->words[0], "orders") == 0;
-	const struct stage_server *server;
+	const struct testbed_server *server;
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < script->stage.servers_count; i++) {
-		server = &script->stage.servers[i];
+	for (i = 0; i < script->testbed.servers_count; i++) {
+		server = &script->testbed.servers[i];
 		count += orders ? server->orders : server->running;
 	}
 	kwb_buf_printf(&script->out, "%u\n", count);
 }
 
 /*
- * Runs kwb-nodectl with the command's words against the stage's store; "LOG"
+ * Runs kwb-nodectl with the command's words against the testbed's store; "LOG"
  * stands for the log file. Returns what it printed.
  */
 static FILE *
-ctl_run(struct script *script, int *status)
+run_nodectl(struct script *script, int *status)
 {
-	const struct kwb_address *store = &script->stage.store.port.address;
+	const struct kwb_address *store = &script->testbed.store.port.address;
 	const char *build = getenv("KWB_BUILD");
 	char output[] = "/tmp/kwb-ctl-XXXXXX";
 	char *arguments[WORDS_MAX + 4];
@@ -862,7 +871,7 @@
 		_exit(127);
 	}
 	while (waitpid(pid, status, WNOHANG) == 0)
-		stage_wait(&script->stage, 2);
+		testbed_run_for(&script->testbed, 2);
 	close(fd);
 	file = fopen(output, "r");
 	unlink(output);
@@ -875,7 +884,7 @@
 	char line[512];
 	char *revision;
 	int status = 0;
-	FILE *file = ctl_run(script, &status);
+	FILE *file = run_nodectl(script, &status);
 
 	while (file != NULL && fgets(line, sizeof(line), file) != NULL) {
 		revision = strstr(line, REVISION_FIELD);
@@ -903,7 +912,7 @@
 	double length_s;
 	unsigned events;
 	int status = 0;
-	FILE *file = ctl_run(script, &status);
+	FILE *file = run_nodectl(script, &status);
 
 	while (file != NULL && fgets(line, sizeof(line), file) != NULL)
 		if (sscanf(line, "%lf %lf %31s %63s %63s %u %63s", &from_s,
@@ -921,12 +930,13 @@
 static void
 run_objects(struct script *script)
 {
-	kwb_buf_printf(&script->out, "%u\n", script->stage.store.objects_count);
+	kwb_buf_printf(
+	    &script->out, "%u\n", script->testbed.store.objects_count);
 }
 
 /* Reads all results and prints only how many, and how long they are. */
 static void
-run_lengths(struct script *script)
+run_results_size(struct script *script)
 {
 	size_t before = script->out.used_bytes;
 	size_t bytes;
@@ -939,7 +949,7 @@
 }
 
 static unsigned
-count_rows(const struct stage_store *store, const char *table)
+count_rows(const struct testbed_store *store, const char *table)
 {
 	unsigned count = 0;
 	unsigned i;
@@ -954,37 +964,37 @@
 run_rows(struct script *script)
 {
 	kwb_buf_printf(&script->out, "%u\n",
-	    count_rows(&script->stage.store, script->words[1]));
+	    count_rows(&script->testbed.store, script->words[1]));
 }
 
 static void
-run_until_rows(struct script *script)
+run_wait_rows(struct script *script)
 {
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
 	unsigned wanted = (unsigned)strtoul(script->words[2], NULL, 10);
 
-	while (count_rows(&script->stage.store, script->words[1]) != wanted &&
+	while (count_rows(&script->testbed.store, script->words[1]) != wanted &&
 	    kwb_clock_now_ns() < end_ns)
-		stage_wait(&script->stage, 10);
+		testbed_run_for(&script->testbed, 10);
 	run_rows(script);
 }
 
 static void
 run_store(struct script *script)
 {
-	struct stage_store *store = &script->stage.store;
+	struct testbed_store *store = &script->testbed.store;
 
 	store->fault =
-	    (enum store_fault)index_of(store_faults, script->words[1]);
-	store->fault_left =
+	    (enum store_fault)name_index(store_fault_names, script->words[1]);
+	store->fault_remaining =
 	    script->words_count > 2 ? (unsigned)atoi(script->words[2]) : 0;
 }
 
 static void
 run_silent_part(struct script *script)
 {
-	kwb_text_copy(script->stage.store.silent_part,
-	    sizeof(script->stage.store.silent_part),
+	kwb_text_copy(script->testbed.store.silent_part,
+	    sizeof(script->testbed.store.silent_part),
 	    script->words_count > 1 ? script->words[1] : "");
 }
 
@@ -992,19 +1002,20 @@
 static void
 run_path(struct script *script)
 {
-	proxy_set(&stage_node(&script->stage, script->words[1])->path,
-	    (enum proxy_mode)index_of(path_modes, script->words[2]));
+	proxy_set_mode(
+	    &testbed_node(&script->testbed, script->words[1])->store_proxy,
+	    (enum proxy_mode)name_index(proxy_mode_names, script->words[2]));
 }
 
 static void
 run_fault(struct script *script)
 {
-	struct stage_server *server =
-	    stage_server(&script->stage, script->words[1]);
+	struct testbed_server *server =
+	    testbed_server(&script->testbed, script->words[1]);
 
 	server->fault =
-	    (enum server_fault)index_of(server_faults, script->words[2]);
-	server->fault_left =
+	    (enum server_fault)name_index(server_fault_names, script->words[2]);
+	server->fault_remaining =
 	    script->words_count > 3 ? (unsigned)atoi(script->words[3]) : 0;
 }
 
@@ -1012,28 +1023,29 @@
 static void
 run_pace(struct script *script)
 {
-	stage_server(&script->stage, script->words[1])->pace_ms =
+	testbed_server(&script->testbed, script->words[1])->pace_ms =
 	    (unsigned)atoi(script->words[2]);
 }
 
 static void
 run_server_change(struct script *script)
 {
-	struct stage *stage = &script->stage;
-	struct stage_server *server = stage_server(stage, script->words[1]);
+	struct testbed *testbed = &script->testbed;
+	struct testbed_server *server =
+	    testbed_server(testbed, script->words[1]);
 
 	if (strcmp(script->words[0], "drain") == 0) {
 		server->draining = true;
-		server_beat(server);
+		testbed_server_publish(server);
 	} else if (strcmp(script->words[0], "beat") == 0) {
-		server_beat(server);
+		testbed_server_publish(server);
 	} else if (strcmp(script->words[0], "remove") == 0) {
-		stage_store_remove(&stage->store, "servers", server->name);
+		testbed_store_remove(&testbed->store, "servers", server->name);
 	} else {
-		stage_store_put(
-		    &stage->store, "servers", server->name, "{\"slots\":");
+		testbed_store_put(
+		    &testbed->store, "servers", server->name, "{\"slots\":");
 	}
-	stage_wait(stage, 40);
+	testbed_run_for(testbed, 40);
 }
 
 static void
@@ -1044,22 +1056,23 @@
 		void (*run)(struct script *script);
 	} commands[] = {{"server", run_server}, {"route", run_route},
 	    {"unroute", run_unroute}, {"config", run_config},
-	    {"name", run_name}, {"node", run_node}, {"stop", run_stop},
+	    {"name", run_set_version}, {"node", run_node}, {"stop", run_stop},
 	    {"ready", run_ready}, {"call", run_call}, {"raw", run_raw},
 	    {"submit", run_submit}, {"results", run_results}, {"end", run_end},
 	    {"item", run_item}, {"store", run_store}, {"fault", run_fault},
 	    {"drain", run_server_change}, {"remove", run_server_change},
 	    {"garble", run_server_change}, {"beat", run_server_change},
 	    {"metrics", run_metrics}, {"ran", run_ran}, {"prompt", run_prompt},
-	    {"until-some", run_until_some}, {"orders", run_sum},
+	    {"until-some", run_wait_version}, {"orders", run_totals},
 	    {"rows", run_rows}, {"silent-part", run_silent_part},
-	    {"until-rows", run_until_rows}, {"objects", run_objects},
-	    {"lengths", run_lengths}, {"running", run_sum}, {"ctl", run_ctl},
-	    {"trace", run_trace}, {"resumed", run_resumed},
-	    {"again", run_again}, {"explain", run_explain}, {"path", run_path},
-	    {"pace", run_pace}, {"crowd", run_crowd},
-	    {"priority", run_priority}, {"detours", run_detours}};
-	struct stage *stage = &script->stage;
+	    {"until-rows", run_wait_rows}, {"objects", run_objects},
+	    {"lengths", run_results_size}, {"running", run_totals},
+	    {"ctl", run_ctl}, {"trace", run_trace}, {"resumed", run_resumed},
+	    {"again", run_repeated_events}, {"explain", run_explain},
+	    {"path", run_path}, {"pace", run_pace},
+	    {"crowd", run_concurrent_calls}, {"priority", run_priority},
+	    {"detours", run_detours}};
+	struct testbed *testbed = &script->testbed;
 	size_t i;
 
 	for (i = 0; i < sizeof(commands) / sizeof(commands[0]); i++)
@@ -1068,11 +1081,11 @@
 			return;
 		}
 	if (strcmp(script->words[0], "wait") == 0)
-		stage_wait(stage, (unsigned)atoi(script->words[1]));
+		testbed_run_for(testbed, (unsigned)atoi(script->words[1]));
 	else if (strcmp(script->words[0], "kill") == 0)
-		stage_node_kill(stage_node(stage, script->words[1]));
+		testbed_node_kill(testbed_node(testbed, script->words[1]));
 	else if (strcmp(script->words[0], "forget") == 0)
-		stage->store.history_from = stage->store.revision;
+		testbed->store.history_from_revision = testbed->store.revision;
 	else
 		kwb_buf_printf(&script->out, "no such command\n");
 }
@@ -1094,7 +1107,7 @@
 }
 
 static bool
-play_lines(struct script *script, FILE *file, struct kwb_buf *played,
+run_lines(struct script *script, FILE *file, struct kwb_buf *actual,
     struct kwb_buf *expected)
 {
 	char line[1024];
@@ -1103,49 +1116,49 @@
 	while (fgets(line, sizeof(line), file) != NULL) {
 		kwb_buf_printf(expected, "%s", line);
 		if (line[0] == '#' || line[0] == '\n') {
-			kwb_buf_printf(played, "%s", line);
+			kwb_buf_printf(actual, "%s", line);
 			continue;
 		}
 		if (strncmp(line, "$ ", 2) != 0)
 			continue; /* expected output of the command above */
-		kwb_buf_printf(played, "%s", line);
+		kwb_buf_printf(actual, "%s", line);
 		line[strcspn(line, "\n")] = '\0';
 		kwb_text_copy(command, sizeof(command), line + 2);
 		split_words(script, command);
 		script->out.used_bytes = 0;
 		run_command(script);
 		kwb_buf_add(
-		    played, kwb_buf_text(&script->out), script->out.used_bytes);
+		    actual, kwb_buf_text(&script->out), script->out.used_bytes);
 	}
-	return strcmp(kwb_buf_text(played), kwb_buf_text(expected)) == 0;
+	return strcmp(kwb_buf_text(actual), kwb_buf_text(expected)) == 0;
 }
 
 static void
-show_difference(const char *played, const char *expected)
+print_first_difference(const char *actual, const char *expected)
 {
 	unsigned line = 1;
 
-	while (*played != '\0' || *expected != '\0') {
-		size_t left = strcspn(played, "\n");
+	while (*actual != '\0' || *expected != '\0') {
+		size_t left = strcspn(actual, "\n");
 		size_t right = strcspn(expected, "\n");
 
-		if (left != right || strncmp(played, expected, left) != 0) {
+		if (left != right || strncmp(actual, expected, left) != 0) {
 			printf("  line %u\n  expected: %.*s\n"
 			       "  printed:  %.*s\n",
-			    line, (int)right, expected, (int)left, played);
+			    line, (int)right, expected, (int)left, actual);
 			return;
 		}
 		line++;
-		played += left + (played[left] != '\0');
+		actual += left + (actual[left] != '\0');
 		expected += right + (expected[right] != '\0');
 	}
 }
 
 static bool
-script_play(const char *path, bool write)
+run_script_file(const char *path, bool write)
 {
 	static struct script script;
-	struct kwb_buf played;
+	struct kwb_buf actual;
 	struct kwb_buf expected;
 	FILE *file = fopen(path, "r");
 	bool same;
@@ -1158,31 +1171,32 @@
 	kwb_metric_set(KWB_METRIC_DETOURS, 0);
 	if (ftruncate(STDERR_FILENO, 0) == 0)
 		lseek(STDERR_FILENO, 0, SEEK_SET);
-	kwb_buf_init(&played);
+	kwb_buf_init(&actual);
 	kwb_buf_init(&expected);
-	stage_init(&script.stage);
+	testbed_init(&script.testbed);
 	script.routes = json_array();
-	same = play_lines(&script, file, &played, &expected);
+	same = run_lines(&script, file, &actual, &expected);
 	fclose(file);
-	stage_finish(&script.stage);
+	testbed_finish(&script.testbed);
 	json_decref(script.routes);
 	if (!same && write) {
 		file = fopen(path, "w");
-		fputs(kwb_buf_text(&played), file);
+		fputs(kwb_buf_text(&actual), file);
 		fclose(file);
 	} else if (!same) {
 		printf("FAILED %s\n", path);
-		show_difference(kwb_buf_text(&played), kwb_buf_text(&expected));
+		print_first_difference(
+		    kwb_buf_text(&actual), kwb_buf_text(&expected));
 	}
 	kwb_buf_finish(&script.out);
-	kwb_buf_finish(&played);
+	kwb_buf_finish(&actual);
 	kwb_buf_finish(&expected);
 	return same;
 }
 
 /* The logs go to a file of their own, which "explain" reads. */
 static bool
-log_to_file(void)
+redirect_log_to_file(void)
 {
 	int fd = mkstemp(log_path);
 
@@ -1202,7 +1216,7 @@
 
 	signal(SIGPIPE, SIG_IGN);
 	kwb_log_init("stage", KWB_LOG_INFO);
-	if (log_level == NULL && !log_to_file())
+	if (log_level == NULL && !redirect_log_to_file())
 		return 1;
 	memset(&found, 0, sizeof(found));
 	if (argc > first) {
@@ -1213,7 +1227,7 @@
 		glob("tests/platform/scripts/*.txt", 0, NULL, &found);
 	}
 	for (i = 0; i < found.gl_pathc; i++) {
-		if (script_play(found.gl_pathv[i], write))
+		if (run_script_file(found.gl_pathv[i], write))
 			passed++;
 		else
 			failed++;
--- a/tests/platform/server.c
+++ b/tests/platform/server.c
@@ -11,101 +11,103 @@
 
 #include "stage.h"
 
-#define STALL_LOOK_MS 20
+#define STALL_POLL_MS 20
 
 struct stream {
-	struct stage_server *server;
-	struct stage_run *run;
-	unsigned next; /* event to send */
-	unsigned total;
-	bool skips;
-	bool cut;
+	struct testbed_server *server;
+	struct recorded_run *run;
+	unsigned next_event; /* event to send */
+	unsigned event_count;
+	bool skips_event;
+	bool is_truncated;
 };
 
 static const char *
-header(const struct stage_peer *peer, const char *name)
+request_header(const struct http_session *session, const char *name)
 {
-	const char *value = kwb_message_header(&peer->conn.message, name);
+	const char *value = kwb_message_header(&session->conn.message, name);
 
 	return value ? value : "";
 }
 
 static void
-note_run(
-    struct stage_server *server, const struct stage_peer *peer, unsigned from)
+record_run(struct testbed_server *server, const struct http_session *session,
+    unsigned from)
 {
-	struct stage *stage = server->stage;
-	struct stage_run *run = &stage->runs[stage->runs_count++];
+	struct testbed *testbed = server->testbed;
+	struct recorded_run *run = &testbed->runs[testbed->runs_count++];
 
-	if (stage->runs_count == STAGE_RUNS_MAX)
+	if (testbed->runs_count == RECORDED_RUNS_MAX)
 		abort();
-	kwb_text_copy(run->id, sizeof(run->id), header(peer, "Attempt-Id"));
 	kwb_text_copy(
-	    run->prompt, sizeof(run->prompt), header(peer, "Prompt-Prefix"));
+	    run->id, sizeof(run->id), request_header(session, "Attempt-Id"));
+	kwb_text_copy(run->prompt, sizeof(run->prompt),
+	    request_header(session, "Prompt-Prefix"));
 	kwb_text_copy(run->priority, sizeof(run->priority),
-	    header(peer, "Priority-Class"));
+	    request_header(session, "Priority-Class"));
 	kwb_text_copy(run->server, sizeof(run->server), server->name);
 	run->from = from;
 }
 
 static enum server_fault
-take_fault(struct stage_server *server)
+next_fault(struct testbed_server *server)
 {
 	enum server_fault fault = server->fault;
 
-	if (server->fault_left > 0 && --server->fault_left == 0)
-		server->fault = SERVER_OK;
+	if (server->fault_remaining > 0 && --server->fault_remaining == 0)
+		server->fault = SERVER_FAULT_NONE;
 	return fault;
 }
 
 static void
-common_headers(
-    char *out, size_t room_bytes, const struct stage_peer *peer, bool receipt)
+format_common_headers(char *out, size_t out_capacity,
+    const struct http_session *session, bool has_receipt)
 {
-	const struct stage_server *server = peer->port->context;
-	int length = snprintf(out, room_bytes,
+	const struct testbed_server *server = session->listener->context;
+	int length = snprintf(out, out_capacity,
 	    "Attempt-Id: %s\r\nServer-Load: %u,0,%u\r\n",
-	    header(peer, "Attempt-Id"), server->running, server->slots);
+	    request_header(session, "Attempt-Id"), server->running,
+	    server->slots);
 
-	if (receipt)
-		snprintf(out + length, room_bytes - (size_t)length,
+	if (has_receipt)
+		snprintf(out + length, out_capacity - (size_t)length,
 		    "Server-Stamp: stamp-%s-%s\r\n", server->name,
-		    header(peer, "Attempt-Id"));
+		    request_header(session, "Attempt-Id"));
 }
 
 /* Faults that take the place of an answer; false when there is none. */
 static bool
-answer_fault(struct stage_peer *peer, enum server_fault fault)
+try_answer_with_fault(struct http_session *session, enum server_fault fault)
 {
 	char headers[512];
-	const struct kwb_buf *body = &peer->conn.message.body;
-	struct evbuffer *out = kwb_conn_output(&peer->conn);
+	const struct kwb_buf *body = &session->conn.message.body;
+	struct evbuffer *out = kwb_conn_output(&session->conn);
 
-	common_headers(headers, sizeof(headers), peer, true);
+	format_common_headers(headers, sizeof(headers), session, true);
 	switch (fault) {
-	case SERVER_ERROR:
-		peer_answer(peer, 500, headers, "", 0);
+	case SERVER_FAULT_500:
+		http_session_answer(session, 500, headers, "", 0);
 		return true;
-	case SERVER_NEVER:
-		peer_answer(peer, 422, headers, "", 0);
+	case SERVER_FAULT_422:
+		http_session_answer(session, 422, headers, "", 0);
 		return true;
-	case SERVER_RESET:
-		peer_close(peer, true);
+	case SERVER_FAULT_RESET:
+		http_session_close(session, true);
 		return true;
-	case SERVER_SILENT:
+	case SERVER_FAULT_SILENT:
 		return true;
-	case SERVER_OTHER_ID:
-		peer_answer(peer, 200,
+	case SERVER_FAULT_WRONG_ID:
+		http_session_answer(session, 200,
 		    "Attempt-Id: another\r\nServer-Stamp: stamp-x\r\n", "no",
 		    2);
 		return true;
-	case SERVER_CUT:
+	case SERVER_FAULT_TRUNCATE:
 		evbuffer_add_printf(out,
 		    "HTTP/1.1 200 OK\r\n%sContent-Length: 100\r\n\r\nhalf",
 		    headers);
-		kwb_conn_close_when_written(&peer->conn);
+		kwb_conn_close_when_written(&session->conn);
 		return true;
-	case SERVER_EXTRA:
+	case SERVER_FAULT_EXTRA_ANSWER:
 		evbuffer_add_printf(out,
 		    "HTTP/1.1 200 OK\r\n%sContent-Length: %zu\r\n\r\n", headers,
 		    body->used_bytes);
@@ -113,19 +115,19 @@
 		evbuffer_add_printf(out,
 		    "HTTP/1.1 200 OK\r\nServer-Stamp: stamp-y\r\n"
 		    "Content-Length: 5\r\n\r\nextra");
-		kwb_conn_read_next(&peer->conn);
+		kwb_conn_read_next(&session->conn);
 		return true;
-	case SERVER_UNFRAMED:
+	case SERVER_FAULT_NO_LENGTH:
 		evbuffer_add_printf(
 		    out, "HTTP/1.1 200 OK\r\n%s\r\nto the end", headers);
-		kwb_conn_close_when_written(&peer->conn);
+		kwb_conn_close_when_written(&session->conn);
 		return true;
-	case SERVER_GARBAGE:
+	case SERVER_FAULT_NOT_HTTP:
 		evbuffer_add_printf(out, "this is no HTTP\r\n\r\n");
-		kwb_conn_close_when_written(&peer->conn);
+		kwb_conn_close_when_written(&session->conn);
 		return true;
-	case SERVER_NO_RECEIPT:
-		peer_answer(peer, 200, "", "none", 4);
+	case SERVER_FAULT_NO_RECEIPT:
+		http_session_answer(session, 200, "", "none", 4);
 		return true;
 	default:
 		return false;
@@ -134,94 +136,100 @@
 
 /* Says that the request has not run, and why; false when it may run. */
 static bool
-refuses(struct stage_peer *peer, enum server_fault fault)
+try_refuse(struct http_session *session, enum server_fault fault)
 {
-	const struct stage_server *server = peer->port->context;
-	const char *expected = header(peer, "Expect-Instance");
-	const char *version = header(peer, "Expect-Version");
+	const struct testbed_server *server = session->listener->context;
+	const char *expected = request_header(session, "Expect-Instance");
+	const char *version = request_header(session, "Expect-Version");
 	char headers[256];
 
-	if (fault == SERVER_MISDIRECTED ||
+	if (fault == SERVER_FAULT_MISDIRECTED ||
 	    (expected[0] != '\0' && strcmp(expected, server->name) != 0)) {
-		peer_answer(peer, 421, "Instance-Id: other\r\n", "", 0);
+		http_session_answer(
+		    session, 421, "Instance-Id: other\r\n", "", 0);
 		return true;
 	}
 	if (version[0] != '\0' &&
 	    strtoull(version, NULL, 10) != server->version) {
-		peer_answer(peer, 421, "", "", 0);
+		http_session_answer(session, 421, "", "", 0);
 		return true;
 	}
-	if (fault != SERVER_REFUSE &&
+	if (fault != SERVER_FAULT_REFUSE &&
 	    kwb_clock_now_ns() >= server->loading_until_ns)
 		return false;
 	snprintf(headers, sizeof(headers),
 	    "Not-Executed: 1\r\nAttempt-Id: %s\r\n",
-	    header(peer, "Attempt-Id"));
-	peer_answer(peer, 503, headers, "", 0);
+	    request_header(session, "Attempt-Id"));
+	http_session_answer(session, 503, headers, "", 0);
 	return true;
 }
 
 /* ---- Bytes without end -----------------------------------------------------
  */
 
-#define POUR_BYTES 32768 /* at a time, while the other side reads */
+#define ENDLESS_WRITE_BYTES 32768 /* at a time, while the other side reads */
 
 /* A kept connection may have had another answer in pieces before. */
 static void
-peer_timer(struct stage_peer *peer,
+session_start_timer(struct http_session *session,
     void (*on_time)(int fd, short what, void *context), uint64_t deadline_ns)
 {
-	if (peer->timer != NULL)
-		event_free(peer->timer);
-	peer->timer = kwb_timer_new(peer->port->base, on_time, peer);
-	kwb_timer_arm(peer->timer, deadline_ns);
+	if (session->timer != NULL)
+		event_free(session->timer);
+	session->timer =
+	    kwb_timer_new(session->listener->base, on_time, session);
+	kwb_timer_arm(session->timer, deadline_ns);
 }
 
-#define TRICKLE_MS 100
+#define COMMENT_INTERVAL_MS 100
 
 static void
-trickle_time(int fd, short what, void *context)
+comment_on_timer(int fd, short what, void *context)
 {
-	struct stage_peer *peer = context;
+	struct http_session *session = context;
 
 	(void)fd;
 	(void)what;
-	evbuffer_add_printf(kwb_conn_output(&peer->conn), ":\n");
-	kwb_timer_arm(peer->timer, kwb_clock_now_ns() + TRICKLE_MS * KWB_MS_NS);
+	evbuffer_add_printf(kwb_conn_output(&session->conn), ":\n");
+	kwb_timer_arm(session->timer,
+	    kwb_clock_now_ns() + COMMENT_INTERVAL_MS * KWB_MS_NS);
 }
 
 static void
-pour_time(int fd, short what, void *context)
+endless_on_timer(int fd, short what, void *context)
 {
-	static char bytes[POUR_BYTES];
-	struct stage_peer *peer = context;
-	struct evbuffer *out = kwb_conn_output(&peer->conn);
+	static char bytes[ENDLESS_WRITE_BYTES];
+	struct http_session *session = context;
+	struct evbuffer *out = kwb_conn_output(&session->conn);
 
 	(void)fd;
 	(void)what;
 	memset(bytes, '1', sizeof(bytes));
 	if (evbuffer_get_length(out) < sizeof(bytes))
 		evbuffer_add(out, bytes, sizeof(bytes));
-	kwb_timer_arm(peer->timer, kwb_clock_now_ns() + KWB_MS_NS);
+	kwb_timer_arm(session->timer, kwb_clock_now_ns() + KWB_MS_NS);
 }
 
 static bool
-pours(struct stage_peer *peer, enum server_fault fault)
+try_answer_endlessly(struct http_session *session, enum server_fault fault)
 {
-	struct evbuffer *out = kwb_conn_output(&peer->conn);
+	struct evbuffer *out = kwb_conn_output(&session->conn);
 	char headers[512];
 
-	if (fault < SERVER_POUR_HEAD)
+	if (fault < SERVER_FAULT_ENDLESS_HEAD)
 		return false;
-	common_headers(headers, sizeof(headers), peer, true);
+	format_common_headers(headers, sizeof(headers), session, true);
 	evbuffer_add_printf(out, "HTTP/1.1 200 OK\r\n%s%s", headers,
-	    fault == SERVER_POUR_HEAD	    ? "X-Long: "
-		: fault == SERVER_POUR_BODY ? "\r\n"
-		: fault == SERVER_POUR_CHUNK
+	    fault == SERVER_FAULT_ENDLESS_HEAD	     ? "X-Long: "
+		: fault == SERVER_FAULT_ENDLESS_BODY ? "\r\n"
+		: fault == SERVER_FAULT_ENDLESS_CHUNK_SIZE
 		? "Transfer-Encoding: chunked\r\n\r\n1;"
 		: "Weight-Versions: 1\r\nContent-Type: text/event-stream\r\n"
 		  "\r\nid: 1\ndata: ");
-	peer_timer(peer, fault == SERVER_TRICKLE ? trickle_time : pour_time, 0);
+	session_start_timer(session,
+	    fault == SERVER_FAULT_COMMENTS_ONLY ? comment_on_timer
+						: endless_on_timer,
+	    0);
 	return true;
 }
 
@@ -229,98 +237,99 @@
  */
 
 static void
-chunk(struct evbuffer *out, const char *text)
+write_chunk(struct evbuffer *out, const char *text)
 {
 	evbuffer_add_printf(out, "%zx\r\n%s\r\n", strlen(text), text);
 }
 
 static void
-stream_time(int fd, short what, void *context)
+stream_on_timer(int fd, short what, void *context)
 {
-	struct stage_peer *peer = context;
-	struct stream *stream = peer->work;
-	struct evbuffer *out = kwb_conn_output(&peer->conn);
+	struct http_session *session = context;
+	struct stream *stream = session->handler_state;
+	struct evbuffer *out = kwb_conn_output(&session->conn);
 	char text[128];
 
 	(void)fd;
 	(void)what;
-	if (stream->server->fault == SERVER_STALL) {
-		kwb_timer_arm(peer->timer,
-		    kwb_clock_now_ns() + STALL_LOOK_MS * KWB_MS_NS);
+	if (stream->server->fault == SERVER_FAULT_STALL) {
+		kwb_timer_arm(session->timer,
+		    kwb_clock_now_ns() + STALL_POLL_MS * KWB_MS_NS);
 		return;
 	}
-	if (stream->skips && stream->next == 3)
-		stream->next++;
-	if (stream->cut && stream->next == 3) {
-		chunk(out, "id: 3\nda"); /* in the middle of an event */
-		kwb_conn_close_when_written(&peer->conn);
+	if (stream->skips_event && stream->next_event == 3)
+		stream->next_event++;
+	if (stream->is_truncated && stream->next_event == 3) {
+		write_chunk(out, "id: 3\nda"); /* in the middle of an event */
+		kwb_conn_close_when_written(&session->conn);
 		return;
 	}
-	if (stream->next > stream->total) {
+	if (stream->next_event > stream->event_count) {
 		evbuffer_add_printf(out, "0\r\n\r\n");
-		peer->port->on_gone(peer);
-		kwb_conn_read_next(&peer->conn);
+		session->listener->on_close(session);
+		kwb_conn_read_next(&session->conn);
 		return;
 	}
-	snprintf(text, sizeof(text), "id: %u\ndata: word%u\n\n", stream->next,
-	    stream->next);
-	chunk(out, text);
-	stream->run->sent = stream->next;
-	stream->next++;
-	kwb_timer_arm(peer->timer,
+	snprintf(text, sizeof(text), "id: %u\ndata: word%u\n\n",
+	    stream->next_event, stream->next_event);
+	write_chunk(out, text);
+	stream->run->sent = stream->next_event;
+	stream->next_event++;
+	kwb_timer_arm(session->timer,
 	    kwb_clock_now_ns() + stream->server->pace_ms * KWB_MS_NS);
 }
 
 static void
-stream_begin(struct stage_peer *peer, enum server_fault fault)
+stream_start(struct http_session *session, enum server_fault fault)
 {
-	struct stage_server *server = peer->port->context;
+	struct testbed_server *server = session->listener->context;
 	struct stream *stream = calloc(1, sizeof(*stream));
-	const char *resume = header(peer, "Last-Event-Id");
+	const char *resume = request_header(session, "Last-Event-Id");
 	char headers[512];
 
 	stream->server = server;
-	stream->next = (unsigned)atoi(resume) + 1;
-	stream->total = 4;
-	stream->skips = fault == SERVER_SKIP;
-	stream->cut = fault == SERVER_CUT;
-	sscanf(kwb_buf_text(&peer->conn.message.body), "events=%u",
-	    &stream->total);
-	note_run(server, peer, stream->next);
-	stream->run = &server->stage->runs[server->stage->runs_count - 1];
+	stream->next_event = (unsigned)atoi(resume) + 1;
+	stream->event_count = 4;
+	stream->skips_event = fault == SERVER_FAULT_SKIP_EVENT;
+	stream->is_truncated = fault == SERVER_FAULT_TRUNCATE;
+	sscanf(kwb_buf_text(&session->conn.message.body), "events=%u",
+	    &stream->event_count);
+	record_run(server, session, stream->next_event);
+	stream->run = &server->testbed->runs[server->testbed->runs_count - 1];
 	server->running++;
-	peer->work = stream;
-	common_headers(headers, sizeof(headers), peer, true);
-	evbuffer_add_printf(kwb_conn_output(&peer->conn),
+	session->handler_state = stream;
+	format_common_headers(headers, sizeof(headers), session, true);
+	evbuffer_add_printf(kwb_conn_output(&session->conn),
 	    "HTTP/1.1 200 OK\r\n%sWeight-Versions: %llu\r\n"
 	    "Content-Type: text/event-stream\r\n"
 	    "Transfer-Encoding: chunked\r\n\r\n",
 	    headers, (unsigned long long)server->version);
-	peer_timer(peer, stream_time,
+	session_start_timer(session, stream_on_timer,
 	    kwb_clock_now_ns() + server->pace_ms * KWB_MS_NS);
 }
 
 static void
-on_gone(struct stage_peer *peer)
+server_on_close(struct http_session *session)
 {
-	struct stream *stream = peer->work;
+	struct stream *stream = session->handler_state;
 
 	if (stream != NULL)
 		stream->server->running--;
 	free(stream);
-	peer->work = NULL;
+	session->handler_state = NULL;
 }
 
 /* ---- Orders and reports
  * -------------------------------------------------------- */
 
 static void
-note_order(struct stage_server *server, const json_t *body, uint64_t fence)
+record_order(struct testbed_server *server, const json_t *body, uint64_t fence)
 {
-	struct stage *stage = server->stage;
-	struct stage_order *order = &stage->orders[stage->orders_count++];
+	struct testbed *testbed = server->testbed;
+	struct recorded_order *order =
+	    &testbed->orders[testbed->orders_count++];
 
-	if (stage->orders_count == STAGE_ORDERS_MAX)
+	if (testbed->orders_count == RECORDED_ORDERS_MAX)
 		abort();
 	order->server = server;
 	order->fence = fence;
@@ -330,10 +339,10 @@
 }
 
 static void
-serve_order(struct stage_peer *peer)
+serve_order(struct http_session *session)
 {
-	struct stage_server *server = peer->port->context;
-	const struct kwb_buf *text = &peer->conn.message.body;
+	struct testbed_server *server = session->listener->context;
+	const struct kwb_buf *text = &session->conn.message.body;
 	json_t *body = json_loadb(text->data, text->used_bytes, 0, NULL);
 	uint64_t fence =
 	    (uint64_t)json_integer_value(json_object_get(body, "fence"));
@@ -343,7 +352,7 @@
 	    (uint64_t)json_integer_value(json_object_get(body, "expected-rev"));
 	unsigned status = 202;
 
-	note_order(server, body, fence);
+	record_order(server, body, fence);
 	if (fence < server->fence && !server->ignores_fences)
 		status = 412;
 	else if (seq != server->seq ||
@@ -361,13 +370,13 @@
 		    kwb_clock_now_ns() + server->load_ms * KWB_MS_NS;
 	}
 	json_decref(body);
-	peer_answer(peer, status, "", "", 0);
+	http_session_answer(session, status, "", "", 0);
 }
 
 static void
-serve_report(struct stage_peer *peer)
+serve_report(struct http_session *session)
 {
-	const struct stage_server *server = peer->port->context;
+	const struct testbed_server *server = session->listener->context;
 	char text[256];
 	int length = snprintf(text, sizeof(text),
 	    "{\"models\":[{\"name\":\"m\",\"version\":%llu}],"
@@ -376,46 +385,48 @@
 	    kwb_clock_now_ns() < server->loading_until_ns ? "true" : "false",
 	    (unsigned long long)server->seq, server->running);
 
-	peer_answer(peer, 200, "", text, (size_t)length);
+	http_session_answer(session, 200, "", text, (size_t)length);
 }
 
 static void
-on_request(struct stage_peer *peer)
+server_on_request(struct http_session *session)
 {
-	struct stage_server *server = peer->port->context;
-	const struct kwb_buf *body = &peer->conn.message.body;
-	const char *target = kwb_message_target(&peer->conn.message);
+	struct testbed_server *server = session->listener->context;
+	const struct kwb_buf *body = &session->conn.message.body;
+	const char *target = kwb_message_target(&session->conn.message);
 	enum server_fault fault;
 	char headers[512];
 
 	if (strcmp(target, "/order") == 0) {
-		serve_order(peer);
+		serve_order(session);
 		return;
 	}
 	if (strcmp(target, "/report") == 0) {
-		serve_report(peer);
+		serve_report(session);
 		return;
 	}
-	fault = take_fault(server);
-	if (refuses(peer, fault))
+	fault = next_fault(server);
+	if (try_refuse(session, fault))
 		return;
 	if (server->engine &&
-	    (fault == SERVER_OK || fault == SERVER_SKIP ||
-		fault == SERVER_CUT || fault == SERVER_STALL)) {
-		stream_begin(peer, fault);
+	    (fault == SERVER_FAULT_NONE || fault == SERVER_FAULT_SKIP_EVENT ||
+		fault == SERVER_FAULT_TRUNCATE ||
+		fault == SERVER_FAULT_STALL)) {
+		stream_start(session, fault);
 		return;
 	}
-	note_run(server, peer, 0);
-	if (pours(peer, fault))
+	record_run(server, session, 0);
+	if (try_answer_endlessly(session, fault))
 		return;
-	if (answer_fault(peer, fault))
+	if (try_answer_with_fault(session, fault))
 		return;
-	common_headers(headers, sizeof(headers), peer, true);
-	peer_answer(peer, 200, headers, body->data, body->used_bytes);
+	format_common_headers(headers, sizeof(headers), session, true);
+	http_session_answer(
+	    session, 200, headers, body->data, body->used_bytes);
 }
 
 void
-server_beat(struct stage_server *server)
+testbed_server_publish(struct testbed_server *server)
 {
 	const struct kwb_address *address = server->advertised.port != 0
 	    ? &server->advertised
@@ -433,16 +444,17 @@
 		snprintf(text + strlen(text), sizeof(text) - strlen(text),
 		    ",\"models\":[{\"name\":\"m\",\"version\":%llu}]}",
 		    (unsigned long long)server->version);
-	stage_store_put(&server->stage->store, "servers", server->name, text);
+	testbed_store_put(
+	    &server->testbed->store, "servers", server->name, text);
 	server->listed = true;
 }
 
 void
-server_open(struct stage_server *server, struct stage *stage)
+testbed_server_open(struct testbed_server *server, struct testbed *testbed)
 {
-	server->stage = stage;
-	if (port_open(
-		&server->port, stage->base, on_request, on_gone, server) != 0)
+	server->testbed = testbed;
+	if (http_listener_open(&server->port, testbed->base, server_on_request,
+		server_on_close, server) != 0)
 		abort();
-	server_beat(server);
+	testbed_server_publish(server);
 }
--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -85,7 +85,7 @@
 	unsigned seed;
 	unsigned state;
 	char directory[128];
-	struct stage stage;
+	struct testbed testbed;
 	struct node nodes[NODES];
 	struct proxy proxies[SERVERS];
 	struct actor actors[CALLERS + TRAINERS];
@@ -249,7 +249,7 @@
 	    method, target, id, strlen(body), body);
 	actor->busy = true;
 	actor->exchange.deadline_ns = kwb_clock_now_ns() + 2500 * KWB_MS_NS;
-	if (kwb_exchange_start(&actor->exchange, &soak->stage.client,
+	if (kwb_exchange_start(&actor->exchange, &soak->testbed.client,
 		&actor->node->front, out) != 0) {
 		actor->busy = false;
 		actor_wait(actor, 50);
@@ -531,37 +531,44 @@
 static void
 fault_network(struct soak *soak)
 {
-	enum proxy_mode mode = (enum proxy_mode)draw(soak, PROXY_MODES);
+	enum proxy_mode mode = (enum proxy_mode)draw(soak, PROXY_MODE_COUNT);
 
 	if (draw(soak, 2) == 0)
-		proxy_set(&soak->nodes[draw(soak, NODES)].proxy, mode);
+		proxy_set_mode(&soak->nodes[draw(soak, NODES)].proxy, mode);
 	else
-		proxy_set(&soak->proxies[draw(soak, SERVERS)], mode);
+		proxy_set_mode(&soak->proxies[draw(soak, SERVERS)], mode);
 }
 
 static void
 fault_server(struct soak *soak)
 {
-	static const enum server_fault faults[] = {SERVER_REFUSE, SERVER_RESET,
-	    SERVER_SILENT, SERVER_OTHER_ID, SERVER_CUT, SERVER_EXTRA,
-	    SERVER_GARBAGE, SERVER_NO_RECEIPT, SERVER_MISDIRECTED};
-	struct stage_server *server = &soak->stage.servers[draw(soak, SERVERS)];
+	static const enum server_fault faults[] = {SERVER_FAULT_REFUSE,
+	    SERVER_FAULT_RESET, SERVER_FAULT_SILENT, SERVER_FAULT_WRONG_ID,
+	    SERVER_FAULT_TRUNCATE, SERVER_FAULT_EXTRA_ANSWER,
+	    SERVER_FAULT_NOT_HTTP, SERVER_FAULT_NO_RECEIPT,
+	    SERVER_FAULT_MISDIRECTED};
+	struct testbed_server *server =
+	    &soak->testbed.servers[draw(soak, SERVERS)];
 
 	server->fault = faults[draw(soak, 9)];
-	if (server->engine && server->fault != SERVER_REFUSE &&
-	    server->fault != SERVER_MISDIRECTED)
-		server->fault = SERVER_CUT;
-	server->fault_left = 1 + draw(soak, 6);
+	if (server->engine && server->fault != SERVER_FAULT_REFUSE &&
+	    server->fault != SERVER_FAULT_MISDIRECTED)
+		server->fault = SERVER_FAULT_TRUNCATE;
+	server->fault_remaining = 1 + draw(soak, 6);
 }
 
 static void
 fault_store(struct soak *soak)
 {
-	soak->stage.store.fault = (enum store_fault)draw(soak, STORE_LATE + 1);
-	soak->stage.store.fault_left =
-	    soak->stage.store.fault >= STORE_LOST ? 1 + draw(soak, 4) : 0;
+	soak->testbed.store.fault =
+	    (enum store_fault)draw(soak, STORE_FAULT_DELAY_WRITE + 1);
+	soak->testbed.store.fault_remaining =
+	    soak->testbed.store.fault >= STORE_FAULT_LOSE_ANSWER
+	    ? 1 + draw(soak, 4)
+	    : 0;
 	if (draw(soak, 4) == 0)
-		soak->stage.store.history_from = soak->stage.store.revision;
+		soak->testbed.store.history_from_revision =
+		    soak->testbed.store.revision;
 }
 
 static void
@@ -569,16 +576,16 @@
 {
 	unsigned i;
 
-	soak->stage.store.fault = STORE_OK;
+	soak->testbed.store.fault = STORE_FAULT_NONE;
 	for (i = 0; i < NODES; i++) {
-		proxy_set(&soak->nodes[i].proxy, PROXY_PASS);
+		proxy_set_mode(&soak->nodes[i].proxy, PROXY_FORWARD);
 		if (soak->nodes[i].stopped)
 			node_signal(&soak->nodes[i], SIGCONT);
 		soak->nodes[i].stopped = false;
 	}
 	for (i = 0; i < SERVERS; i++) {
-		proxy_set(&soak->proxies[i], PROXY_PASS);
-		soak->stage.servers[i].fault = SERVER_OK;
+		proxy_set_mode(&soak->proxies[i], PROXY_FORWARD);
+		soak->testbed.servers[i].fault = SERVER_FAULT_NONE;
 	}
 }
 
@@ -615,8 +622,8 @@
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < soak->stage.runs_count; i++)
-		count += strcmp(soak->stage.runs[i].id, id) == 0;
+	for (i = 0; i < soak->testbed.runs_count; i++)
+		count += strcmp(soak->testbed.runs[i].id, id) == 0;
 	return count;
 }
 
@@ -676,12 +683,12 @@
 static void
 check_order(struct soak *soak, unsigned at)
 {
-	const struct stage_order *order = &soak->stage.orders[at];
-	const struct stage_order *before;
+	const struct recorded_order *order = &soak->testbed.orders[at];
+	const struct recorded_order *before;
 	unsigned i;
 
 	for (i = 0; i < at; i++) {
-		before = &soak->stage.orders[i];
+		before = &soak->testbed.orders[i];
 		if (before->fence == order->fence &&
 		    strcmp(before->holder, order->holder) != 0)
 			fail(soak, "%s and %s order with token %llu",
@@ -708,7 +715,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < soak->stage.orders_count; i++)
+	for (i = 0; i < soak->testbed.orders_count; i++)
 		check_order(soak, i);
 }
 
@@ -720,7 +727,7 @@
 
 	snprintf(text, sizeof(text), "{\"model\":\"m\",\"version\":%u}",
 	    ++soak->version);
-	stage_store_put(&soak->stage.store, "op", "version/m", text);
+	testbed_store_put(&soak->testbed.store, "op", "version/m", text);
 	soak->name_ns = kwb_clock_now_ns() + NAME_MS * KWB_MS_NS;
 }
 
@@ -751,14 +758,14 @@
 	    "\"max-attempts\":1000,\"item-ttl-s\":60}],\"services\":[{\"name\":"
 	    "\"shop\"},{\"name\":\"engine\",\"engine\":{\"slots\":4,\"models\":"
 	    "[{\"name\":\"m\"}]}}],\"limits\":{}}";
-	struct stage_server *server;
+	struct testbed_server *server;
 	char name[16];
 	unsigned i;
 
-	stage_init(&soak->stage);
+	testbed_init(&soak->testbed);
 	for (i = 0; i < SERVERS; i++) {
 		snprintf(name, sizeof(name), "s%u", i);
-		server = stage_server(&soak->stage, name);
+		server = testbed_server(&soak->testbed, name);
 		server->engine = i >= PLAIN;
 		server->slots = 4;
 		server->pace_ms = 25;
@@ -767,35 +774,35 @@
 		server->ignores_fences = !soak->fenced;
 		kwb_text_copy(server->service, sizeof(server->service),
 		    server->engine ? "engine" : "shop");
-		server_open(server, &soak->stage);
-		if (proxy_open(&soak->proxies[i], soak->stage.base,
+		testbed_server_open(server, &soak->testbed);
+		if (proxy_open(&soak->proxies[i], soak->testbed.base,
 			&server->port.address) != 0)
 			abort();
 		server->advertised = soak->proxies[i].address;
-		server_beat(server);
+		testbed_server_publish(server);
 	}
-	stage_store_put(&soak->stage.store, "op", "config", config);
+	testbed_store_put(&soak->testbed.store, "op", "config", config);
 	for (i = 0; i < NODES; i++) {
 		struct node *node = &soak->nodes[i];
 
 		snprintf(node->name, sizeof(node->name), "n%u", i);
-		stage_free_address(&node->front);
-		stage_free_address(&node->ready);
-		stage_free_address(&node->peers);
-		if (proxy_open(&node->proxy, soak->stage.base,
-			&soak->stage.store.port.address) != 0)
+		testbed_pick_address(&node->front);
+		testbed_pick_address(&node->ready);
+		testbed_pick_address(&node->peers);
+		if (proxy_open(&node->proxy, soak->testbed.base,
+			&soak->testbed.store.port.address) != 0)
 			abort();
 		node_settings(soak, node);
 		node_start(soak, node);
 	}
-	stage_wait(&soak->stage, 400);
+	testbed_run_for(&soak->testbed, 400);
 	for (i = 0; i < CALLERS + TRAINERS; i++) {
 		struct actor *actor = &soak->actors[i];
 
 		actor->soak = soak;
 		actor->trainer = i >= CALLERS;
 		actor->timer =
-		    kwb_timer_new(soak->stage.base, actor_time, actor);
+		    kwb_timer_new(soak->testbed.base, actor_time, actor);
 		actor_wait(actor, i * 10);
 	}
 }
@@ -820,7 +827,7 @@
 	for (i = 0; i < soak->batches_count; i++)
 		for (k = 0; k < ITEMS; k++)
 			free(soak->batches[i].results[k]);
-	stage_finish(&soak->stage);
+	testbed_finish(&soak->testbed);
 	if (getenv("SOAK_KEEP") != NULL || soak->failures > 0) {
 		printf("seed %u: logs in %s\n", soak->seed, soak->directory);
 		return;
@@ -850,7 +857,7 @@
 	soak.end_ns = kwb_clock_now_ns() + PLAY_MS * KWB_MS_NS;
 	soak.fault_ns = kwb_clock_now_ns() + 500 * KWB_MS_NS;
 	while (kwb_clock_now_ns() < soak.end_ns) {
-		stage_wait(&soak.stage, 5);
+		testbed_run_for(&soak.testbed, 5);
 		nodes_look(&soak);
 		if (kwb_clock_now_ns() >= soak.fault_ns)
 			fault_next(&soak);
@@ -861,7 +868,7 @@
 	soak.calm = true;
 	soak.end_ns = kwb_clock_now_ns() + SETTLE_MS * KWB_MS_NS;
 	while (kwb_clock_now_ns() < soak.end_ns && !is_settled(&soak)) {
-		stage_wait(&soak.stage, 5);
+		testbed_run_for(&soak.testbed, 5);
 		nodes_look(&soak);
 	}
 	check_calls(&soak);
@@ -874,7 +881,7 @@
 	       "orders=%u\n",
 	    soak.failures == 0 ? "ok" : "FAILED", seed, soak.faults,
 	    soak.calls_count, soak.batches_count, finished,
-	    soak.stage.orders_count);
+	    soak.testbed.orders_count);
 	fflush(stdout);
 	soak_finish(&soak);
 	return soak.failures;
--- a/tests/platform/stage.c
+++ b/tests/platform/stage.c
@@ -1,5 +1,5 @@
 /*
- * The stage: what stands on one event loop, and time passing there.
+ * The testbed: what stands on one event loop, and time passing there.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -10,78 +10,79 @@
 
 #include "stage.h"
 
-#define FIRST_PORT 12000
-#define PORTS 8000
+#define PORT_MIN 12000
+#define PORT_COUNT 8000
 
 void
-stage_init(struct stage *stage)
+testbed_init(struct testbed *testbed)
 {
-	memset(stage, 0, sizeof(*stage));
-	stage->base = event_base_new();
-	if (kwb_client_init(&stage->client, stage->base) != 0 ||
-	    stage_store_open(&stage->store, stage->base) != 0)
+	memset(testbed, 0, sizeof(*testbed));
+	testbed->base = event_base_new();
+	if (kwb_client_init(&testbed->client, testbed->base) != 0 ||
+	    testbed_store_open(&testbed->store, testbed->base) != 0)
 		abort();
 }
 
 void
-stage_finish(struct stage *stage)
+testbed_finish(struct testbed *testbed)
 {
 	unsigned i;
 
-	for (i = 0; i < stage->nodes_count; i++)
-		if (stage->nodes[i].running)
-			stage_node_kill(&stage->nodes[i]);
-	for (i = 0; i < stage->nodes_count; i++)
-		if (stage->nodes[i].has_path)
-			proxy_close(&stage->nodes[i].path);
-	for (i = 0; i < stage->servers_count; i++)
-		port_close(&stage->servers[i].port);
-	stage_store_close(&stage->store);
-	kwb_client_finish(&stage->client);
-	event_base_free(stage->base);
+	for (i = 0; i < testbed->nodes_count; i++)
+		if (testbed->nodes[i].is_running)
+			testbed_node_kill(&testbed->nodes[i]);
+	for (i = 0; i < testbed->nodes_count; i++)
+		if (testbed->nodes[i].has_store_proxy)
+			proxy_close(&testbed->nodes[i].store_proxy);
+	for (i = 0; i < testbed->servers_count; i++)
+		http_listener_close(&testbed->servers[i].port);
+	testbed_store_close(&testbed->store);
+	kwb_client_finish(&testbed->client);
+	event_base_free(testbed->base);
 }
 
 void
-stage_wait(struct stage *stage, unsigned length_ms)
+testbed_run_for(struct testbed *testbed, unsigned length_ms)
 {
 	uint64_t end_ns = kwb_clock_now_ns() + length_ms * KWB_MS_NS;
 
 	while (kwb_clock_now_ns() < end_ns) {
-		event_base_loop(stage->base, EVLOOP_NONBLOCK);
+		event_base_loop(testbed->base, EVLOOP_NONBLOCK);
 		usleep(500);
 	}
 }
 
-struct stage_node *
-stage_node(struct stage *stage, const char *name)
+struct testbed_node *
+testbed_node(struct testbed *testbed, const char *name)
 {
 	unsigned i;
 
-	for (i = 0; i < stage->nodes_count; i++)
-		if (strcmp(stage->nodes[i].name, name) == 0)
-			return &stage->nodes[i];
-	if (stage->nodes_count == STAGE_NODES_MAX)
+	for (i = 0; i < testbed->nodes_count; i++)
+		if (strcmp(testbed->nodes[i].name, name) == 0)
+			return &testbed->nodes[i];
+	if (testbed->nodes_count == TESTBED_NODES_MAX)
 		abort();
-	kwb_text_copy(stage->nodes[i].name, sizeof(stage->nodes[i].name), name);
-	stage->nodes[i].stage = stage;
-	stage->nodes_count++;
-	return &stage->nodes[i];
+	kwb_text_copy(
+	    testbed->nodes[i].name, sizeof(testbed->nodes[i].name), name);
+	testbed->nodes[i].testbed = testbed;
+	testbed->nodes_count++;
+	return &testbed->nodes[i];
 }
 
-struct stage_server *
-stage_server(struct stage *stage, const char *name)
+struct testbed_server *
+testbed_server(struct testbed *testbed, const char *name)
 {
 	unsigned i;
 
-	for (i = 0; i < stage->servers_count; i++)
-		if (strcmp(stage->servers[i].name, name) == 0)
-			return &stage->servers[i];
-	if (stage->servers_count == STAGE_SERVERS_MAX)
+	for (i = 0; i < testbed->servers_count; i++)
+		if (strcmp(testbed->servers[i].name, name) == 0)
+			return &testbed->servers[i];
+	if (testbed->servers_count == TESTBED_SERVERS_MAX)
 		abort();
 	kwb_text_copy(
-	    stage->servers[i].name, sizeof(stage->servers[i].name), name);
-	stage->servers_count++;
-	return &stage->servers[i];
+	    testbed->servers[i].name, sizeof(testbed->servers[i].name), name);
+	testbed->servers_count++;
+	return &testbed->servers[i];
 }
 
 /*
@@ -89,24 +90,26 @@
  * of these may hold it when a process that listens there is started again.
  */
 void
-stage_free_address(struct kwb_address *address)
+testbed_pick_address(struct kwb_address *address)
 {
 	static unsigned next;
-	struct sockaddr_in at = {.sin_family = AF_INET};
+	struct sockaddr_in candidate = {.sin_family = AF_INET};
 	unsigned tries;
 	int fd;
 
-	inet_pton(AF_INET, "127.0.0.1", &at.sin_addr);
-	for (tries = 0; tries < PORTS; tries++) {
+	inet_pton(AF_INET, "127.0.0.1", &candidate.sin_addr);
+	for (tries = 0; tries < PORT_COUNT; tries++) {
 		fd = socket(AF_INET, SOCK_STREAM, 0);
 		if (next == 0)
 			next = (unsigned)getpid() * 37;
-		at.sin_port = htons((uint16_t)(FIRST_PORT + next++ % PORTS));
-		if (bind(fd, (struct sockaddr *)&at, sizeof(at)) == 0) {
+		candidate.sin_port =
+		    htons((uint16_t)(PORT_MIN + next++ % PORT_COUNT));
+		if (bind(fd, (struct sockaddr *)&candidate,
+			sizeof(candidate)) == 0) {
 			close(fd);
 			kwb_text_copy(
 			    address->ip, sizeof(address->ip), "127.0.0.1");
-			address->port = ntohs(at.sin_port);
+			address->port = ntohs(candidate.sin_port);
 			return;
 		}
 		close(fd);
@@ -115,46 +118,46 @@
 }
 
 static void
-on_stopped(void *context)
+node_on_stopped(void *context)
 {
-	struct stage_node *node = context;
+	struct testbed_node *node = context;
 
-	node->running = false;
+	node->is_running = false;
 }
 
 void
-stage_node_start(struct stage_node *node)
+testbed_node_start(struct testbed_node *node)
 {
 	kwb_node_settings_init(&node->settings);
 	kwb_text_copy(
 	    node->settings.node, sizeof(node->settings.node), node->name);
 	kwb_text_copy(node->settings.failure_domain, KWB_NAME_MAX_BYTES, "z1");
-	stage_free_address(&node->settings.listen);
-	stage_free_address(&node->settings.ready);
-	stage_free_address(&node->settings.metrics);
-	if (!node->has_path &&
-	    proxy_open(&node->path, node->stage->base,
-		&node->stage->store.port.address) != 0)
+	testbed_pick_address(&node->settings.listen);
+	testbed_pick_address(&node->settings.ready);
+	testbed_pick_address(&node->settings.metrics);
+	if (!node->has_store_proxy &&
+	    proxy_open(&node->store_proxy, node->testbed->base,
+		&node->testbed->store.port.address) != 0)
 		abort();
-	node->has_path = true;
-	node->settings.store = node->path.address;
-	if (!node->alone)
-		stage_free_address(&node->settings.peers);
+	node->has_store_proxy = true;
+	node->settings.store = node->store_proxy.address;
+	if (!node->has_no_peers)
+		testbed_pick_address(&node->settings.peers);
 	node->settings.is_fencing_enforced = true;
 	node->settings.grace_ms = 8000;
-	if (platform_store_init(
-		&node->store, node->stage->base, &node->settings.store) != 0 ||
-	    kwb_node_init(&node->node, node->stage->base, &node->settings,
+	if (platform_store_init(&node->store, node->testbed->base,
+		&node->settings.store) != 0 ||
+	    kwb_node_init(&node->node, node->testbed->base, &node->settings,
 		&node->store.store, &platform_message_codec,
-		&platform_document_schema, on_stopped, node) != 0)
+		&platform_document_schema, node_on_stopped, node) != 0)
 		abort();
-	node->running = true;
+	node->is_running = true;
 }
 
 void
-stage_node_kill(struct stage_node *node)
+testbed_node_kill(struct testbed_node *node)
 {
 	kwb_node_finish(&node->node);
 	platform_store_finish(&node->store);
-	node->running = false;
+	node->is_running = false;
 }
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -1,6 +1,6 @@
 /*
- * A stage for tests of the node: nodes, a stand-in of the platform's store and
- * stand-ins of its servers, all on one event loop and on loopback.
+ * A testbed for tests of the node: nodes, a stand-in of the platform's store
+ * and stand-ins of its servers, all on one event loop and on loopback.
  */
 #ifndef KWB_TESTS_STAGE_H
 #define KWB_TESTS_STAGE_H
@@ -12,58 +12,60 @@
 #include "kwb_node.h"
 #include "proxy.h"
 
-#define STAGE_ROWS_MAX 4096
-#define STAGE_SERVERS_MAX 16
-#define STAGE_NODES_MAX 4
-#define STAGE_RUNS_MAX 16384
-#define STAGE_ORDERS_MAX 2048
+#define TESTBED_ROWS_MAX 4096
+#define TESTBED_SERVERS_MAX 16
+#define TESTBED_NODES_MAX 4
+#define RECORDED_RUNS_MAX 16384
+#define RECORDED_ORDERS_MAX 2048
 
 /* ---- A small HTTP server --------------------------------------------------
  */
 
-struct stage_peer {
+struct http_session {
 	struct kwb_conn conn;
-	struct stage_port *port;
+	struct http_listener *listener;
 	struct event *timer; /* of an answer in pieces, or one held back */
-	void *work;	     /* of the handler */
-	TAILQ_ENTRY(stage_peer) entry;
+	void *handler_state; /* of the handler */
+	TAILQ_ENTRY(http_session) entry;
 };
 
-TAILQ_HEAD(stage_peer_list, stage_peer);
+TAILQ_HEAD(http_session_list, http_session);
 
-struct stage_port {
+struct http_listener {
 	struct event_base *base;
-	struct evconnlistener *listener;
+	struct evconnlistener *ev_listener;
 	struct kwb_address address;
-	struct stage_peer_list peers;
-	void (*on_request)(struct stage_peer *peer);
-	void (*on_gone)(struct stage_peer *peer); /* frees its work */
+	struct http_session_list sessions;
+	void (*on_request)(struct http_session *session);
+	void (*on_close)(struct http_session *session); /* frees its work */
 	void *context;
 };
 
-int port_open(struct stage_port *port, struct event_base *base,
-    void (*on_request)(struct stage_peer *peer),
-    void (*on_gone)(struct stage_peer *peer), void *context);
-void port_close(struct stage_port *port);
-void peer_answer(struct stage_peer *peer, unsigned status, const char *headers,
-    const void *body, size_t body_bytes);
-void peer_close(struct stage_peer *peer, bool reset);
+int http_listener_open(struct http_listener *listener, struct event_base *base,
+    void (*on_request)(struct http_session *session),
+    void (*on_close)(struct http_session *session), void *context);
+void http_listener_close(struct http_listener *listener);
+void http_session_answer(struct http_session *session, unsigned status,
+    const char *headers, const void *body, size_t body_bytes);
+void http_session_close(struct http_session *session, bool reset);
 
 /* ---- The store --------------------------------------------------------------
  */
 
 enum store_fault {
-	STORE_OK,
-	STORE_BUSY,   /* 503 */
-	STORE_MANY,   /* 429 */
-	STORE_RESET,  /* closes */
-	STORE_SILENT, /* answers nothing */
-	STORE_LOST,   /* writes are done and not answered */
-	STORE_LATE,   /* writes are done 300 ms later and not answered */
-	STORE_MUTE    /* writes are done, their connections say no more */
+	STORE_FAULT_NONE,
+	STORE_FAULT_503,	    /* 503 */
+	STORE_FAULT_429,	    /* 429 */
+	STORE_FAULT_RESET,	    /* closes */
+	STORE_FAULT_SILENT,	    /* answers nothing */
+	STORE_FAULT_LOSE_ANSWER,    /* writes are done and not answered */
+	STORE_FAULT_DELAY_WRITE,    /* writes are done 300 ms later and not
+				       answered */
+	STORE_FAULT_NO_WRITE_ANSWER /* writes are done, their connections say no
+				       more */
 };
 
-struct stage_row {
+struct testbed_row {
 	char *table;
 	char *part;
 	char *key;
@@ -71,66 +73,67 @@
 	uint64_t revision;
 };
 
-struct stage_object {
+struct testbed_object {
 	char *name;
 	struct kwb_buf data;
 };
 
-struct late_write; /* done later, without an answer */
-TAILQ_HEAD(late_write_list, late_write);
+struct delayed_write; /* done later, without an answer */
+TAILQ_HEAD(delayed_write_list, delayed_write);
 
-struct stage_store {
-	struct stage_port port;
-	struct event *tick;
-	struct stage_row rows[STAGE_ROWS_MAX];
+struct testbed_store {
+	struct http_listener port;
+	struct event *feeds_timer;
+	struct testbed_row rows[TESTBED_ROWS_MAX];
 	unsigned rows_count;
-	struct stage_object objects[64];
+	struct testbed_object objects[64];
 	unsigned objects_count;
 	uint64_t revision;
-	uint64_t history_from; /* feeds from before this get 410 */
+	uint64_t history_from_revision; /* feeds from before this get 410 */
 	enum store_fault fault;
-	unsigned fault_left;  /* writes that it hits; 0 for all */
+	unsigned fault_remaining; /* writes that it hits; 0 for all */
 	char silent_part[64]; /* calls about it are not answered; "" for none */
 	uint64_t begin_ns;
-	struct late_write_list late;
+	struct delayed_write_list delayed_writes;
 };
 
-int stage_store_open(struct stage_store *store, struct event_base *base);
-void stage_store_close(struct stage_store *store);
-void stage_store_put(struct stage_store *store, const char *table,
+int testbed_store_open(struct testbed_store *store, struct event_base *base);
+void testbed_store_close(struct testbed_store *store);
+void testbed_store_put(struct testbed_store *store, const char *table,
     const char *key, const char *text); /* as the operator or a server */
-void stage_store_remove(
-    struct stage_store *store, const char *table, const char *key);
-const struct stage_row *stage_store_row(const struct stage_store *store,
+void testbed_store_remove(
+    struct testbed_store *store, const char *table, const char *key);
+const struct testbed_row *testbed_store_find(const struct testbed_store *store,
     const char *table, const char *part, const char *key);
 
 /* ---- A server: a plain service, or a model server
  * ----------------------------- */
 
 enum server_fault {
-	SERVER_OK,
-	SERVER_REFUSE,	    /* 503, not run */
-	SERVER_ERROR,	    /* 500 */
-	SERVER_NEVER,	    /* 422 */
-	SERVER_RESET,	    /* runs it and closes without an answer */
-	SERVER_SILENT,	    /* runs it and says nothing */
-	SERVER_OTHER_ID,    /* the answer of another request */
-	SERVER_CUT,	    /* ends in the middle of the body */
-	SERVER_EXTRA,	    /* a second answer behind the first */
-	SERVER_UNFRAMED,    /* no length, ends with the connection */
-	SERVER_GARBAGE,	    /* no HTTP */
-	SERVER_NO_RECEIPT,  /* 200 without receipt */
-	SERVER_SKIP,	    /* a stream lacks an event */
-	SERVER_MISDIRECTED, /* 421: another server has the address */
-	SERVER_STALL,	    /* sends nothing more on what is open */
-	SERVER_POUR_HEAD,   /* a header line without end */
-	SERVER_POUR_BODY,   /* a body without end */
-	SERVER_POUR_CHUNK,  /* a chunk's length without end */
-	SERVER_POUR_LINE,   /* a stream's line without end */
-	SERVER_TRICKLE	    /* a stream's comment each 100 ms, no event */
+	SERVER_FAULT_NONE,
+	SERVER_FAULT_REFUSE,	   /* 503, not run */
+	SERVER_FAULT_500,	   /* 500 */
+	SERVER_FAULT_422,	   /* 422 */
+	SERVER_FAULT_RESET,	   /* runs it and closes without an answer */
+	SERVER_FAULT_SILENT,	   /* runs it and says nothing */
+	SERVER_FAULT_WRONG_ID,	   /* the answer of another request */
+	SERVER_FAULT_TRUNCATE,	   /* ends in the middle of the body */
+	SERVER_FAULT_EXTRA_ANSWER, /* a second answer behind the first */
+	SERVER_FAULT_NO_LENGTH,	   /* no length, ends with the connection */
+	SERVER_FAULT_NOT_HTTP,	   /* no HTTP */
+	SERVER_FAULT_NO_RECEIPT,   /* 200 without receipt */
+	SERVER_FAULT_SKIP_EVENT,   /* a stream lacks an event */
+	SERVER_FAULT_MISDIRECTED,  /* 421: another server has the address */
+	SERVER_FAULT_STALL,	   /* sends nothing more on what is open */
+	SERVER_FAULT_ENDLESS_HEAD, /* a header line without end */
+	SERVER_FAULT_ENDLESS_BODY, /* a body without end */
+	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk's length without end */
+	SERVER_FAULT_ENDLESS_LINE,	 /* a stream's line without end */
+	SERVER_FAULT_COMMENTS_ONLY /* a stream's comment each 100 ms, no event
+				    */
 };
 
-struct stage_run {
+struct recorded_run {
 	char id[64];
 	char server[32];
 	char prompt[64]; /* its parts */
@@ -140,16 +143,16 @@
 };
 
 /* An order as it arrived, taken or not. */
-struct stage_order {
-	const struct stage_server *server;
+struct recorded_order {
+	const struct testbed_server *server;
 	char holder[32];
 	uint64_t fence;
 	uint64_t at_ns;
 };
 
-struct stage_server {
-	struct stage *stage;
-	struct stage_port port;
+struct testbed_server {
+	struct testbed *testbed;
+	struct http_listener port;
 	char name[32];
 	char service[32];
 	struct kwb_address advertised; /* in its row; port 0: its own */
@@ -166,49 +169,51 @@
 	unsigned load_ms;
 	uint64_t loading_until_ns;
 	enum server_fault fault;
-	unsigned fault_left; /* requests that it hits; 0 for all */
+	unsigned fault_remaining; /* requests that it hits; 0 for all */
 	unsigned orders;
 };
 
-void server_open(struct stage_server *server, struct stage *stage);
-void server_beat(struct stage_server *server); /* writes its row */
+void testbed_server_open(
+    struct testbed_server *server, struct testbed *testbed);
+void testbed_server_publish(struct testbed_server *server); /* writes its row */
 
-/* ---- The stage
+/* ---- The testbed
  * --------------------------------------------------------------------- */
 
-struct stage_node {
+struct testbed_node {
 	char name[32];
-	bool running;
+	bool is_running;
 	struct kwb_node_settings settings;
 	struct platform_store store;
 	struct kwb_node node;
-	struct proxy path; /* to the store; open while has_path */
-	bool has_path;
-	bool alone; /* has no peers */
-	struct stage *stage;
+	struct proxy store_proxy; /* to the store; open while has_path */
+	bool has_store_proxy;
+	bool has_no_peers; /* has no peers */
+	struct testbed *testbed;
 };
 
-struct stage {
+struct testbed {
 	struct event_base *base;
 	struct kwb_client client;
-	struct stage_store store;
-	struct stage_server servers[STAGE_SERVERS_MAX];
+	struct testbed_store store;
+	struct testbed_server servers[TESTBED_SERVERS_MAX];
 	unsigned servers_count;
-	struct stage_node nodes[STAGE_NODES_MAX];
+	struct testbed_node nodes[TESTBED_NODES_MAX];
 	unsigned nodes_count;
-	struct stage_run runs[STAGE_RUNS_MAX];
+	struct recorded_run runs[RECORDED_RUNS_MAX];
 	unsigned runs_count;
-	struct stage_order orders[STAGE_ORDERS_MAX];
+	struct recorded_order orders[RECORDED_ORDERS_MAX];
 	unsigned orders_count;
 };
 
-void stage_init(struct stage *stage);
-void stage_finish(struct stage *stage);
-void stage_wait(struct stage *stage, unsigned length_ms);
-struct stage_node *stage_node(struct stage *stage, const char *name);
-struct stage_server *stage_server(struct stage *stage, const char *name);
-void stage_node_start(struct stage_node *node);
-void stage_node_kill(struct stage_node *node);
-void stage_free_address(struct kwb_address *address); /* a free port */
+void testbed_init(struct testbed *testbed);
+void testbed_finish(struct testbed *testbed);
+void testbed_run_for(struct testbed *testbed, unsigned length_ms);
+struct testbed_node *testbed_node(struct testbed *testbed, const char *name);
+struct testbed_server *testbed_server(
+    struct testbed *testbed, const char *name);
+void testbed_node_start(struct testbed_node *node);
+void testbed_node_kill(struct testbed_node *node);
+void testbed_pick_address(struct kwb_address *address); /* a free port */
 
 #endif
--- a/tests/platform/store.c
+++ b/tests/platform/store.c
@@ -10,7 +10,7 @@
 
 #include "stage.h"
 
-#define LATE_MS 300
+#define WRITE_DELAY_MS 300
 
 struct feed_wait {
 	char table[64];
@@ -18,21 +18,21 @@
 	uint64_t deadline_ns;
 };
 
-struct late_write {
+struct delayed_write {
 	json_t *body;
-	struct stage_store *store;
+	struct testbed_store *store;
 	struct event *timer;
-	TAILQ_ENTRY(late_write) entry;
+	TAILQ_ENTRY(delayed_write) entry;
 };
 
 static uint64_t
-now_ms(const struct stage_store *store)
+store_now_ms(const struct testbed_store *store)
 {
 	return 1000 + (kwb_clock_now_ns() - store->begin_ns) / KWB_MS_NS;
 }
 
-static struct stage_row *
-row_find(const struct stage_store *store, const char *table, const char *part,
+static struct testbed_row *
+row_find(const struct testbed_store *store, const char *table, const char *part,
     const char *key)
 {
 	unsigned i;
@@ -41,27 +41,27 @@
 		if (strcmp(store->rows[i].key, key) == 0 &&
 		    strcmp(store->rows[i].table, table) == 0 &&
 		    strcmp(store->rows[i].part, part) == 0)
-			return (struct stage_row *)&store->rows[i];
+			return (struct testbed_row *)&store->rows[i];
 	return NULL;
 }
 
-const struct stage_row *
-stage_store_row(const struct stage_store *store, const char *table,
+const struct testbed_row *
+testbed_store_find(const struct testbed_store *store, const char *table,
     const char *part, const char *key)
 {
-	const struct stage_row *row = row_find(store, table, part, key);
+	const struct testbed_row *row = row_find(store, table, part, key);
 
 	return row != NULL && row->value != NULL ? row : NULL;
 }
 
 static void
-row_set(struct stage_store *store, const char *table, const char *part,
+row_set(struct testbed_store *store, const char *table, const char *part,
     const char *key, const char *value)
 {
-	struct stage_row *row = row_find(store, table, part, key);
+	struct testbed_row *row = row_find(store, table, part, key);
 
 	if (row == NULL) {
-		if (store->rows_count == STAGE_ROWS_MAX)
+		if (store->rows_count == TESTBED_ROWS_MAX)
 			abort();
 		row = &store->rows[store->rows_count++];
 		row->table = strdup(table);
@@ -74,7 +74,7 @@
 }
 
 static json_t *
-row_json(const struct stage_row *row)
+row_json(const struct testbed_row *row)
 {
 	json_t *entry =
 	    json_pack("{s:s, s:s, s:s, s:I}", "table", row->table, "part",
@@ -88,25 +88,25 @@
 }
 
 static void
-answer_json(struct stage_peer *peer, unsigned status, json_t *body)
+answer_json(struct http_session *session, unsigned status, json_t *body)
 {
-	struct stage_store *store = peer->port->context;
+	struct testbed_store *store = session->listener->context;
 	char *text;
 
 	if (json_object_get(body, "ver") == NULL)
 		json_object_set_new(
 		    body, "ver", json_integer((json_int_t)store->revision));
 	json_object_set_new(
-	    body, "now-ms", json_integer((json_int_t)now_ms(store)));
+	    body, "now-ms", json_integer((json_int_t)store_now_ms(store)));
 	text = json_dumps(body, JSON_COMPACT);
-	peer_answer(peer, status, "Content-Type: application/json\r\n", text,
-	    strlen(text));
+	http_session_answer(session, status,
+	    "Content-Type: application/json\r\n", text, strlen(text));
 	free(text);
 	json_decref(body);
 }
 
 static const char *
-field(const json_t *entry, const char *name)
+json_field(const json_t *entry, const char *name)
 {
 	const char *text = json_string_value(json_object_get(entry, name));
 
@@ -115,17 +115,17 @@
 
 /* Applies a transaction; the rows that stand in its way, or NULL. */
 static json_t *
-transact(struct stage_store *store, const json_t *body)
+apply_transaction(struct testbed_store *store, const json_t *body)
 {
 	json_t *conflicts = json_array();
-	const struct stage_row *row;
+	const struct testbed_row *row;
 	json_t *entry;
 	uint64_t revision;
 	size_t i;
 
 	json_array_foreach (json_object_get(body, "expected-rev"), i, entry) {
-		row = stage_store_row(store, field(entry, "table"),
-		    field(entry, "part"), field(entry, "key"));
+		row = testbed_store_find(store, json_field(entry, "table"),
+		    json_field(entry, "part"), json_field(entry, "key"));
 		revision =
 		    (uint64_t)json_integer_value(json_object_get(entry, "ver"));
 		if ((row ? row->revision : 0) != revision)
@@ -137,87 +137,90 @@
 	json_decref(conflicts);
 	store->revision++;
 	json_array_foreach (json_object_get(body, "puts"), i, entry)
-		row_set(store, field(entry, "table"), field(entry, "part"),
-		    field(entry, "key"), field(entry, "value"));
+		row_set(store, json_field(entry, "table"),
+		    json_field(entry, "part"), json_field(entry, "key"),
+		    json_field(entry, "value"));
 	json_array_foreach (json_object_get(body, "remove"), i, entry)
-		row_set(store, field(entry, "table"), field(entry, "part"),
-		    field(entry, "key"), NULL);
+		row_set(store, json_field(entry, "table"),
+		    json_field(entry, "part"), json_field(entry, "key"), NULL);
 	return NULL;
 }
 
 static void
-late_free(struct late_write *late)
+delayed_write_free(struct delayed_write *write)
 {
-	TAILQ_REMOVE(&late->store->late, late, entry);
-	json_decref(late->body);
-	event_free(late->timer);
-	free(late);
+	TAILQ_REMOVE(&write->store->delayed_writes, write, entry);
+	json_decref(write->body);
+	event_free(write->timer);
+	free(write);
 }
 
 static void
-late_time(int fd, short what, void *context)
+delayed_write_on_timer(int fd, short what, void *context)
 {
-	struct late_write *late = context;
-	json_t *conflicts = transact(late->store, late->body);
+	struct delayed_write *write = context;
+	json_t *conflicts = apply_transaction(write->store, write->body);
 
 	(void)fd;
 	(void)what;
 	json_decref(conflicts);
-	late_free(late);
+	delayed_write_free(write);
 }
 
 static void
-serve_tx(struct stage_peer *peer, json_t *body)
+serve_transaction(struct http_session *session, json_t *body)
 {
-	struct stage_store *store = peer->port->context;
+	struct testbed_store *store = session->listener->context;
 	enum store_fault fault = store->fault;
-	struct late_write *late;
+	struct delayed_write *write;
 	json_t *conflicts;
 
-	if (fault >= STORE_LOST && store->fault_left > 0 &&
-	    --store->fault_left == 0)
-		store->fault = STORE_OK;
-	if (fault == STORE_LATE) {
-		late = calloc(1, sizeof(*late));
-		late->body = json_incref(body);
-		late->store = store;
-		TAILQ_INSERT_TAIL(&store->late, late, entry);
-		late->timer = kwb_timer_new(peer->port->base, late_time, late);
-		kwb_timer_arm(
-		    late->timer, kwb_clock_now_ns() + LATE_MS * KWB_MS_NS);
-		peer_close(peer, true);
+	if (fault >= STORE_FAULT_LOSE_ANSWER && store->fault_remaining > 0 &&
+	    --store->fault_remaining == 0)
+		store->fault = STORE_FAULT_NONE;
+	if (fault == STORE_FAULT_DELAY_WRITE) {
+		write = calloc(1, sizeof(*write));
+		write->body = json_incref(body);
+		write->store = store;
+		TAILQ_INSERT_TAIL(&store->delayed_writes, write, entry);
+		write->timer = kwb_timer_new(
+		    session->listener->base, delayed_write_on_timer, write);
+		kwb_timer_arm(write->timer,
+		    kwb_clock_now_ns() + WRITE_DELAY_MS * KWB_MS_NS);
+		http_session_close(session, true);
 		return;
 	}
-	conflicts = transact(store, body);
-	if (fault == STORE_LOST)
-		peer_close(peer, true);
-	else if (fault == STORE_MUTE)
+	conflicts = apply_transaction(store, body);
+	if (fault == STORE_FAULT_LOSE_ANSWER)
+		http_session_close(session, true);
+	else if (fault == STORE_FAULT_NO_WRITE_ANSWER)
 		;
 	else if (conflicts != NULL)
-		answer_json(peer, 412, json_pack("{s:O}", "rows", conflicts));
+		answer_json(
+		    session, 412, json_pack("{s:O}", "rows", conflicts));
 	else
-		answer_json(peer, 200, json_object());
+		answer_json(session, 200, json_object());
 	json_decref(conflicts);
 }
 
 static int
 compare_rows(const void *a, const void *b)
 {
-	return strcmp((*(const struct stage_row *const *)a)->key,
-	    (*(const struct stage_row *const *)b)->key);
+	return strcmp((*(const struct testbed_row *const *)a)->key,
+	    (*(const struct testbed_row *const *)b)->key);
 }
 
 static int
 compare_revisions(const void *a, const void *b)
 {
-	const struct stage_row *left = *(const struct stage_row *const *)a;
-	const struct stage_row *right = *(const struct stage_row *const *)b;
+	const struct testbed_row *left = *(const struct testbed_row *const *)a;
+	const struct testbed_row *right = *(const struct testbed_row *const *)b;
 
 	return left->revision < right->revision ? -1 : 1;
 }
 
 static const char *
-argument(struct evkeyvalq *pairs, const char *name)
+query_value(struct evkeyvalq *pairs, const char *name)
 {
 	const char *value = evhttp_find_header(pairs, name);
 
@@ -225,24 +228,24 @@
 }
 
 static void
-serve_range(struct stage_peer *peer, struct evkeyvalq *pairs)
+serve_range(struct http_session *session, struct evkeyvalq *pairs)
 {
-	static const struct stage_row *found[STAGE_ROWS_MAX];
-	struct stage_store *store = peer->port->context;
-	const char *to = argument(pairs, "target");
+	static const struct testbed_row *found[TESTBED_ROWS_MAX];
+	struct testbed_store *store = session->listener->context;
+	const char *end = query_value(pairs, "target");
 	json_t *rows = json_array();
-	unsigned limit = (unsigned)atoi(argument(pairs, "limit"));
+	unsigned limit = (unsigned)atoi(query_value(pairs, "limit"));
 	unsigned count = 0;
 	unsigned i;
 
 	for (i = 0; i < store->rows_count; i++) {
-		const struct stage_row *row = &store->rows[i];
+		const struct testbed_row *row = &store->rows[i];
 
 		if (row->value != NULL &&
-		    strcmp(row->table, argument(pairs, "table")) == 0 &&
-		    strcmp(row->part, argument(pairs, "part")) == 0 &&
-		    strcmp(row->key, argument(pairs, "from")) >= 0 &&
-		    (to[0] == '\0' || strcmp(row->key, to) < 0))
+		    strcmp(row->table, query_value(pairs, "table")) == 0 &&
+		    strcmp(row->part, query_value(pairs, "part")) == 0 &&
+		    strcmp(row->key, query_value(pairs, "from")) >= 0 &&
+		    (end[0] == '\0' || strcmp(row->key, end) < 0))
 			found[count++] = row;
 	}
 	qsort(found, count, sizeof(found[0]), compare_rows);
@@ -250,23 +253,23 @@
 		limit = 500;
 	for (i = 0; i < count && i < limit; i++)
 		json_array_append_new(rows, row_json(found[i]));
-	answer_json(peer, 200,
+	answer_json(session, 200,
 	    json_pack("{s:o, s:b}", "rows", rows, "has-more", i < count));
 }
 
 /* Answers a feed when there is news, or its time is up. */
 static bool
-feed_try(struct stage_peer *peer)
+feed_try_answer(struct http_session *session)
 {
-	static const struct stage_row *found[STAGE_ROWS_MAX];
-	struct stage_store *store = peer->port->context;
-	struct feed_wait *wait = peer->work;
+	static const struct testbed_row *found[TESTBED_ROWS_MAX];
+	struct testbed_store *store = session->listener->context;
+	struct feed_wait *wait = session->handler_state;
 	json_t *rows;
 	unsigned count = 0;
 	unsigned i;
 
-	if (wait->after < store->history_from) {
-		answer_json(peer, 410, json_object());
+	if (wait->after < store->history_from_revision) {
+		answer_json(session, 410, json_object());
 		return true;
 	}
 	for (i = 0; i < store->rows_count; i++)
@@ -279,38 +282,38 @@
 	rows = json_array();
 	for (i = 0; i < count; i++)
 		json_array_append_new(rows, row_json(found[i]));
-	answer_json(peer, 200, json_pack("{s:o}", "rows", rows));
+	answer_json(session, 200, json_pack("{s:o}", "rows", rows));
 	return true;
 }
 
 static void
-feed_end(struct stage_peer *peer)
+feed_finish(struct http_session *session)
 {
-	free(peer->work);
-	peer->work = NULL;
+	free(session->handler_state);
+	session->handler_state = NULL;
 }
 
 static void
-serve_feed(struct stage_peer *peer, struct evkeyvalq *pairs)
+serve_feed(struct http_session *session, struct evkeyvalq *pairs)
 {
 	struct feed_wait *wait = calloc(1, sizeof(*wait));
 
 	kwb_text_copy(
-	    wait->table, sizeof(wait->table), argument(pairs, "table"));
-	wait->after = strtoull(argument(pairs, "after"), NULL, 10);
+	    wait->table, sizeof(wait->table), query_value(pairs, "table"));
+	wait->after = strtoull(query_value(pairs, "after"), NULL, 10);
 	wait->deadline_ns = kwb_clock_now_ns() +
-	    strtoull(argument(pairs, "wait-ms"), NULL, 10) * KWB_MS_NS;
-	peer->work = wait;
-	if (feed_try(peer))
-		feed_end(peer);
+	    strtoull(query_value(pairs, "wait-ms"), NULL, 10) * KWB_MS_NS;
+	session->handler_state = wait;
+	if (feed_try_answer(session))
+		feed_finish(session);
 }
 
 static void
-serve_object(struct stage_peer *peer, const char *call, const char *name)
+serve_object(struct http_session *session, const char *call, const char *name)
 {
-	struct stage_store *store = peer->port->context;
-	struct stage_object *object = NULL;
-	const struct kwb_buf *body = &peer->conn.message.body;
+	struct testbed_store *store = session->listener->context;
+	struct testbed_object *object = NULL;
+	const struct kwb_buf *body = &session->conn.message.body;
 	unsigned i;
 
 	for (i = 0; i < store->objects_count; i++)
@@ -318,9 +321,9 @@
 			object = &store->objects[i];
 	if (strcmp(call, "get") == 0) {
 		if (object == NULL)
-			peer_answer(peer, 404, "", "", 0);
+			http_session_answer(session, 404, "", "", 0);
 		else
-			peer_answer(peer, 200, "", object->data.data,
+			http_session_answer(session, 200, "", object->data.data,
 			    object->data.used_bytes);
 		return;
 	}
@@ -330,36 +333,36 @@
 			kwb_buf_finish(&object->data);
 			*object = store->objects[--store->objects_count];
 		}
-		peer_answer(peer, 200, "", "", 0);
+		http_session_answer(session, 200, "", "", 0);
 		return;
 	}
 	if (object != NULL) {
-		peer_answer(peer, 412, "", "", 0);
+		http_session_answer(session, 412, "", "", 0);
 		return;
 	}
 	object = &store->objects[store->objects_count++];
 	object->name = strdup(name);
 	kwb_buf_init(&object->data);
 	kwb_buf_add(&object->data, body->data, body->used_bytes);
-	peer_answer(peer, 200, "", "", 0);
+	http_session_answer(session, 200, "", "", 0);
 }
 
 static bool
-hit_by_fault(struct stage_peer *peer)
+try_fault(struct http_session *session)
 {
-	const struct stage_store *store = peer->port->context;
+	const struct testbed_store *store = session->listener->context;
 
 	switch (store->fault) {
-	case STORE_BUSY:
-		peer_answer(peer, 503, "", "", 0);
+	case STORE_FAULT_503:
+		http_session_answer(session, 503, "", "", 0);
 		return true;
-	case STORE_MANY:
-		peer_answer(peer, 429, "", "", 0);
+	case STORE_FAULT_429:
+		http_session_answer(session, 429, "", "", 0);
 		return true;
-	case STORE_RESET:
-		peer_close(peer, true);
+	case STORE_FAULT_RESET:
+		http_session_close(session, true);
 		return true;
-	case STORE_SILENT:
+	case STORE_FAULT_SILENT:
 		return true;
 	default:
 		return false;
@@ -368,7 +371,7 @@
 
 /* Of a read by its query, of a transaction by its rows. */
 static bool
-is_about(const struct kwb_message *message, const char *part)
+is_about_part(const struct kwb_message *message, const char *part)
 {
 	const char *target = kwb_message_target(message);
 	char text[96];
@@ -383,24 +386,24 @@
 }
 
 static void
-on_request(struct stage_peer *peer)
+store_on_request(struct http_session *session)
 {
-	const struct stage_store *store = peer->port->context;
-	const struct kwb_message *message = &peer->conn.message;
+	const struct testbed_store *store = session->listener->context;
+	const struct kwb_message *message = &session->conn.message;
 	const char *target = kwb_message_target(message);
 	const char *query = strchr(target, '?');
 	struct evkeyvalq pairs;
 	json_t *body;
 
-	if (hit_by_fault(peer))
+	if (try_fault(session))
 		return;
 	if (store->silent_part[0] != '\0' &&
-	    is_about(message, store->silent_part))
+	    is_about_part(message, store->silent_part))
 		return;
 	if (strncmp(target, "/rows-tx", 8) == 0) {
 		body = json_loadb(
 		    message->body.data, message->body.used_bytes, 0, NULL);
-		serve_tx(peer, body);
+		serve_transaction(session, body);
 		json_decref(body);
 		return;
 	}
@@ -408,67 +411,70 @@
 		char call[8] = "";
 
 		sscanf(target, "/blob-%7[a-z]", call);
-		serve_object(peer, call, strrchr(target, '/') + 1);
+		serve_object(session, call, strrchr(target, '/') + 1);
 		return;
 	}
 	evhttp_parse_query_str(query ? query + 1 : "", &pairs);
 	if (strncmp(target, "/rows-get", 9) == 0)
-		serve_range(peer, &pairs);
+		serve_range(session, &pairs);
 	else if (strncmp(target, "/rows-feed", 10) == 0)
-		serve_feed(peer, &pairs);
+		serve_feed(session, &pairs);
 	else
-		peer_answer(peer, 400, "", "", 0);
+		http_session_answer(session, 400, "", "", 0);
 	evhttp_clear_headers(&pairs);
 }
 
 static bool
-is_away(const struct stage_store *store)
+is_unavailable(const struct testbed_store *store)
 {
-	return store->fault >= STORE_BUSY && store->fault <= STORE_SILENT;
+	return store->fault >= STORE_FAULT_503 &&
+	    store->fault <= STORE_FAULT_SILENT;
 }
 
 static void
-on_tick(int fd, short what, void *context)
+feeds_on_timer(int fd, short what, void *context)
 {
-	struct stage_store *store = context;
-	struct stage_peer *peer = TAILQ_FIRST(&store->port.peers);
-	struct stage_peer *next;
+	struct testbed_store *store = context;
+	struct http_session *session = TAILQ_FIRST(&store->port.sessions);
+	struct http_session *next;
 
 	(void)fd;
 	(void)what;
-	for (; peer != NULL; peer = next) {
-		next = TAILQ_NEXT(peer, entry);
-		if (peer->work != NULL && !is_away(store) && feed_try(peer))
-			feed_end(peer);
+	for (; session != NULL; session = next) {
+		next = TAILQ_NEXT(session, entry);
+		if (session->handler_state != NULL && !is_unavailable(store) &&
+		    feed_try_answer(session))
+			feed_finish(session);
 	}
-	kwb_timer_arm(store->tick, kwb_clock_now_ns() + 5 * KWB_MS_NS);
+	kwb_timer_arm(store->feeds_timer, kwb_clock_now_ns() + 5 * KWB_MS_NS);
 }
 
 int
-stage_store_open(struct stage_store *store, struct event_base *base)
+testbed_store_open(struct testbed_store *store, struct event_base *base)
 {
 	memset(store, 0, sizeof(*store));
 	store->begin_ns = kwb_clock_now_ns();
 	store->revision = 1;
-	TAILQ_INIT(&store->late);
-	store->tick = kwb_timer_new(base, on_tick, store);
-	kwb_timer_arm(store->tick, kwb_clock_now_ns());
-	return port_open(&store->port, base, on_request, feed_end, store);
+	TAILQ_INIT(&store->delayed_writes);
+	store->feeds_timer = kwb_timer_new(base, feeds_on_timer, store);
+	kwb_timer_arm(store->feeds_timer, kwb_clock_now_ns());
+	return http_listener_open(
+	    &store->port, base, store_on_request, feed_finish, store);
 }
 
 void
-stage_store_close(struct stage_store *store)
+testbed_store_close(struct testbed_store *store)
 {
-	struct late_write *late = TAILQ_FIRST(&store->late);
-	struct late_write *next;
+	struct delayed_write *write = TAILQ_FIRST(&store->delayed_writes);
+	struct delayed_write *next;
 	unsigned i;
 
-	for (; late != NULL; late = next) {
-		next = TAILQ_NEXT(late, entry);
-		late_free(late);
+	for (; write != NULL; write = next) {
+		next = TAILQ_NEXT(write, entry);
+		delayed_write_free(write);
 	}
-	port_close(&store->port);
-	event_free(store->tick);
+	http_listener_close(&store->port);
+	event_free(store->feeds_timer);
 	for (i = 0; i < store->rows_count; i++) {
 		free(store->rows[i].table);
 		free(store->rows[i].part);
@@ -482,8 +488,8 @@
 }
 
 void
-stage_store_put(struct stage_store *store, const char *table, const char *key,
-    const char *text)
+testbed_store_put(struct testbed_store *store, const char *table,
+    const char *key, const char *text)
 {
 	struct kwb_buf value;
 
@@ -495,8 +501,8 @@
 }
 
 void
-stage_store_remove(
-    struct stage_store *store, const char *table, const char *key)
+testbed_store_remove(
+    struct testbed_store *store, const char *table, const char *key)
 {
 	store->revision++;
 	row_set(store, table, "", key, NULL);
