--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -98,7 +98,7 @@
 };
 
 static bool
-call_send(struct testbed *testbed, struct call *call,
+call_run(struct testbed *testbed, struct call *call,
     const struct kwb_address *to, struct evbuffer *request, unsigned leave_ms)
 {
 	uint64_t leave_ns = kwb_clock_now_ns() +
@@ -208,7 +208,7 @@
 		kwb_buf_printf(&headers, "Prompt-Prefix: %s\r\n", prompt);
 	if (from != NULL)
 		kwb_buf_printf(&headers, "Last-Event-Id: %s\r\n", from);
-	call_send(&script->testbed, &call, &node->settings.listen,
+	call_run(&script->testbed, &call, &node->settings.listen,
 	    request_new(script->words[2], script->words[3], headers.data, body,
 		strlen(body)),
 	    option_number(script, "leave", 0));
@@ -302,7 +302,7 @@
 	char headers[256];
 
 	snprintf(headers, sizeof(headers), "Host: " HOST "\r\n%s", more);
-	call_send(&script->testbed, call, &target_node->settings.listen,
+	call_run(&script->testbed, call, &target_node->settings.listen,
 	    request_new(method, target, headers, body, strlen(body)), 0);
 }
 
@@ -322,7 +322,7 @@
 		} else {
 			evbuffer_add(out, *at == '_' ? " " : at, 1);
 		}
-	call_send(&script->testbed, &call, &node->settings.listen, out, 6000);
+	call_run(&script->testbed, &call, &node->settings.listen, out, 6000);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -619,7 +619,7 @@
 	    testbed_node(&script->testbed, script->words[1]);
 	struct call call;
 
-	call_send(&script->testbed, &call, &node->settings.ready,
+	call_run(&script->testbed, &call, &node->settings.ready,
 	    request_new("GET", "/readyz", "Host: x\r\n", "", 0), 0);
 	kwb_buf_printf(
 	    &script->out, "%u\n", kwb_exchange_answer(&call.exchange)->status);
@@ -638,7 +638,7 @@
 	const char *at;
 	int length;
 
-	call_send(&script->testbed, &call, &node->settings.metrics,
+	call_run(&script->testbed, &call, &node->settings.metrics,
 	    request_new("GET", "/metrics", "Host: x\r\n", "", 0), 0);
 	text = kwb_buf_text(&kwb_exchange_answer(&call.exchange)->body);
 	for (at = strstr(text, "# TYPE "); at != NULL;
