--- a/tests/platform/port.c
+++ b/tests/platform/port.c
@@ -1,5 +1,5 @@
 /*
- * The HTTP server that all stand-ins share.
+ * HTTP listener of the fake store and the fake servers.
  */
 #include <arpa/inet.h>
 #include <event2/bufferevent.h>
--- a/tests/platform/proxy.c
+++ b/tests/platform/proxy.c
@@ -1,5 +1,5 @@
 /*
- * The loopback proxy of the soak.
+ * Loopback TCP proxy that simulates network faults.
  */
 #include <arpa/inet.h>
 #include <event2/bufferevent.h>
@@ -14,10 +14,10 @@
 
 struct proxy_pair {
 	struct proxy *proxy;
-	struct bufferevent *client_side; /* to who connected */
-	struct bufferevent *target_side; /* to the target */
-	struct event *timer;		 /* passes delayed bytes on */
-	bool is_frozen;
+	struct bufferevent *client_side; /* connection that was accepted */
+	struct bufferevent *target_side; /* connection to the target */
+	struct event *timer;		 /* forwards delayed bytes */
+	bool is_frozen;			 /* forwards nothing any more */
 	TAILQ_ENTRY(proxy_pair) entry;
 };
 
@@ -84,7 +84,7 @@
 		return;
 	if (pair->is_frozen || pair->proxy->mode == PROXY_BLACKHOLE)
 		return;
-	/* What has arrived goes out before the close. */
+	/* Forward what has arrived before closing. */
 	pair_forward(pair);
 	bufferevent_flush(
 	    bev == pair->client_side ? pair->target_side : pair->client_side,
--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -1,29 +1,72 @@
 /* clang-format off: one command a line
  *
- * Scripts on the testbed. A script's line that begins with "$ " is a command;
- * below it stands what it is expected to print.
+ * Runs test scripts on the testbed. A line of a script that begins with "$ " is
+ * a command, one that begins with "#" a comment; the lines below a command are
+ * the output that is expected from it.
  *
- *   $ server NAME service=S [engine=1] [slots=N] [pace=MS] [version=V] [load=MS]
- *   $ route NAME KIND PREFIX SERVICE [attempts=N] [timeout=MS] [target=MS]
- *       [ttl=S] [single=1] [resumable=1] [sticky=1] [split=SERVICE:WEIGHT]
- *   $ config VERSION              publishes the routes so far
- *   $ unroute NAME                leaves one out from now on
- *   $ node NAME, $ stop NAME, $ kill NAME, $ ready NAME
+ *   script [--write] [FILE ...]   FILEs, or all below tests/platform/scripts;
+ *       --write puts the actual output into scripts that fail
+ *
+ * If STAGE_LOG is set, the log goes to standard error; the commands "explain"
+ * and "trace" need it in a file.
+ *
+ * Servers, routes and nodes:
+ *   $ server NAME service=S [engine=1] [slots=N] [pace=MS] [version=V]
+ *       [load=MS]
+ *   $ pace SERVER MS              time between two events of its streams
+ *   $ fault SERVER FAULT [N]      see server_fault_names; for N requests only
+ *   $ heartbeat SERVER, $ drain SERVER, $ remove SERVER    its row
+ *   $ corrupt SERVER              makes its row unreadable
+ *   $ route NAME KIND PREFIX SERVICE [host=H] [attempts=N] [timeout=MS]
+ *       [target=MS] [ttl=S] [single=1] [resumable=1] [sticky=1]
+ *       [split=SERVICE:WEIGHT]
+ *   $ unroute NAME                leaves a route out from the next config on
+ *   $ config VERSION [body=BYTES] publishes the routes so far
+ *   $ set-version VERSION         publishes the newest version of model m
+ *   $ wait-version VERSION        until a server has it; the newest version
+ *   $ node NAME [peers=0] [keep=MS] [row=BYTES]            starts a node
+ *   $ stop NODE [wait=0]          with a handover of its batches
+ *   $ kill NODE                   without
+ *   $ ready NODE                  status of its readiness check
+ *
+ * Requests to a node:
  *   $ call NODE METHOD PATH [id=ID] [deadline=MS] [body=TEXT] [host=H] [from=N]
- *       [leave=MS] [prompt=PARTS]  status, Retry-After if any, body
+ *       [leave=MS] [prompt=PARTS]
+ *       status, whether the receipt is for this id, Retry-After if any, body;
+ *       or the name of the error; or "left" if it took longer than leave=
+ *   $ concurrent-calls NODE PATH [calls=N] [mb=N]  how many end, and whether
+ *       the memory of the process grows by less than mb=
+ *   $ raw NODE TEXT               sends TEXT, with _ for a space and \n for a
+ *       line end; prints as "call" does
  *   $ submit NODE BATCH [items=N] [size=N] [events=N] [min=V] [target=N]
  *   $ results NODE BATCH          all results, by item
+ *   $ results-size NODE BATCH     their number and length only
  *   $ end NODE BATCH, $ item NODE BATCH ITEM
- *   $ silent-part [PART]          the store answers no calls about it
- *   $ store FAULT [N], $ fault SERVER FAULT [N], $ forget
- *   $ drain SERVER, $ remove SERVER, $ garble SERVER, $ name VERSION
- *   $ metrics NODE                their kinds
+ *   $ metrics NODE                their types
+ *
+ * What the servers got; ID is that of a request or item:
  *   $ ran ID                      how often, and from which events on
+ *   $ resumed ID                  whether its last run began after event 1
+ *   $ repeated-events ID N        whether at most N events were sent again
  *   $ prompt ID                   its parts, as the upstream was told
- *   $ orders SERVER, $ version SERVER, $ wait MS, $ until-version SERVER V
- *   $ rows TABLE, $ until-rows TABLE N    rows of the store
- *   $ ctl WORDS, $ trace trace BATCH LOG   kwb-nodectl; the latter's spans
- *   $ raw NODE TEXT               bytes on a connection; the status line
+ *   $ priority ID                 of each of its runs
+ *   $ orders, $ running           of all servers: loads, streams open now
+ *
+ * Store:
+ *   $ store FAULT [N]             see store_fault_names; for N writes only
+ *   $ silent-part [PART]          it answers no calls about this part
+ *   $ trim-history                feeds from before now get 410
+ *   $ proxy NODE MODE             path from a node to it; see proxy_mode_names
+ *   $ rows TABLE, $ objects       how many there are
+ *   $ wait-rows TABLE N           until there are N; how many there are
+ *   $ detours                     calls of nodes through a peer so far
+ *
+ * Others:
+ *   $ wait MS
+ *   $ ctl WORDS                   output and exit code of kwb-nodectl
+ *   $ trace trace BATCH LOG       its spans of half a second or more; LOG
+ *       stands for the log file
+ *   $ explain ID                  log events about this id
  */
 /* clang-format on */
 #include <arpa/inet.h>
@@ -44,7 +87,7 @@
 #define CALL_TIMEOUT_MS 8000
 #define HOST "front.example"
 
-static char log_path[] = "/tmp/kwb-stage-XXXXXX";
+static char log_path[] = "/tmp/kwb-tests-XXXXXX";
 
 struct script {
 	struct testbed testbed;
@@ -60,14 +103,15 @@
 	int error;
 };
 
-static const char *const store_fault_names[] = {
-    "ok", "busy", "many", "reset", "silent", "lost", "late", "mute", NULL};
-static const char *const proxy_mode_names[] = {
-    "ok", "delay", "reset", "oneway", "silent", "cut", NULL};
-static const char *const server_fault_names[] = {"ok", "refuse", "error",
-    "never", "reset", "silent", "other-id", "cut", "extra", "unframed",
-    "garbage", "no-receipt", "skip", "misdirected", "stall", "pour-head",
-    "pour-body", "pour-chunk", "pour-line", "trickle", NULL};
+static const char *const store_fault_names[] = {"ok", "503", "429", "reset",
+    "silent", "lose-answer", "delay-write", "no-write-answer", NULL};
+static const char *const proxy_mode_names[] = {"forward", "delay", "reset",
+    "drop-replies", "freeze-open", "blackhole", NULL};
+static const char *const server_fault_names[] = {"ok", "refuse", "500", "422",
+    "reset", "silent", "wrong-id", "truncate", "extra-answer", "no-length",
+    "not-http", "no-receipt", "skip-event", "misdirected", "stall",
+    "endless-head", "endless-body", "endless-chunk-size", "endless-line",
+    "comments-only", NULL};
 
 static int
 name_index(const char *const *names, const char *name)
@@ -217,7 +261,9 @@
 	kwb_buf_finish(&headers);
 }
 
-/* Of the process: the most since the last reset, which begins at the present.
+/*
+ * Returns the most memory, in bytes, that was resident since the last reset;
+ * reset starts anew from what is resident now.
  */
 static uint64_t
 peak_resident_bytes(bool reset)
@@ -242,7 +288,7 @@
 
 #define CONCURRENT_CALLS_MAX 200
 
-/* Many calls at once: how they end, and what the process grows by meanwhile. */
+/* Prints how many concurrent calls end, and whether memory stays in bounds. */
 static void
 run_concurrent_calls(struct script *script)
 {
@@ -421,7 +467,7 @@
 	return count;
 }
 
-/* Reads until all results are there, as a trainer does. */
+/* Reads until all results are listed, as a trainer does. */
 static void
 run_results(struct script *script)
 {
@@ -626,7 +672,7 @@
 	kwb_exchange_finish(&call.exchange);
 }
 
-/* The kinds of all metrics; of histograms, whether anything was counted. */
+/* Prints types of metrics, and whether a histogram has counted anything. */
 static void
 run_metrics(struct script *script)
 {
@@ -676,7 +722,7 @@
 	kwb_buf_printf(&script->out, "\n");
 }
 
-/* The parts of a prompt that the upstream was told of. */
+/* Prints the prompt's parts as the upstream received them. */
 static void
 run_prompt(struct script *script)
 {
@@ -689,7 +735,7 @@
 			    &script->out, "%s\n", testbed->runs[i].prompt);
 }
 
-/* Whether the last run of an item began behind its first event. */
+/* Prints whether the last run of an item began after its first event. */
 static void
 run_resumed(struct script *script)
 {
@@ -704,7 +750,7 @@
 	    &script->out, from > 1 ? "resumed\n" : "from the first event\n");
 }
 
-/* Events of an item that a later run made once more: none beyond the most. */
+/* Prints whether later runs sent more events again than are allowed. */
 static void
 run_repeated_events(struct script *script)
 {
@@ -727,7 +773,7 @@
 		kwb_buf_printf(&script->out, "%u again\n", again);
 }
 
-/* The value of a field of a log line. */
+/* Copies the value of a log line's field, or ""; name includes " " and "=". */
 static void
 log_field(
     const char *line, const char *name, char *value, size_t value_capacity)
@@ -746,7 +792,7 @@
 	value[length] = '\0';
 }
 
-/* What the logs say of an id, as "grep ID" shows it: module, event, why. */
+/* Prints module, event and reason of each log line with the id as a value. */
 static void
 run_explain(struct script *script)
 {
@@ -775,7 +821,7 @@
 		fclose(file);
 }
 
-/* With which priority each run of a request came. */
+/* Prints the priority that each run of a request had. */
 static void
 run_priority(struct script *script)
 {
@@ -791,7 +837,7 @@
 				: "none");
 }
 
-/* How often nodes have gone to the store through a peer in this script. */
+/* Prints how many calls to the store went through a peer in this script. */
 static void
 run_detours(struct script *script)
 {
@@ -818,7 +864,7 @@
 	    &script->out, "version %llu\n", (unsigned long long)newest);
 }
 
-/* Over all upstreams: orders so far, or requests that run. */
+/* Prints, over all servers, the orders accepted or the streams open now. */
 static void
 run_totals(struct script *script)
 {
@@ -835,8 +881,8 @@
 }
 
 /*
- * Runs kwb-nodectl with the command's words against the testbed's store; "LOG"
- * stands for the log file. Returns what it printed.
+ * Runs kwb-nodectl with the command's words against the fake store; "LOG"
+ * stands for the log file. Returns its output; status is that of waitpid().
  */
 static FILE *
 run_nodectl(struct script *script, int *status)
@@ -888,7 +934,7 @@
 
 	while (file != NULL && fgets(line, sizeof(line), file) != NULL) {
 		revision = strstr(line, REVISION_FIELD);
-		/* A lease is renewed as time passes. */
+		/* Renewals of the lease raise the revision. */
 		if (revision != NULL &&
 		    strtoull(revision + strlen(REVISION_FIELD), NULL, 10) > 0)
 			strcpy(revision + strlen(REVISION_FIELD), "N\n");
@@ -899,7 +945,7 @@
 	kwb_buf_printf(&script->out, "exit %d\n", WEXITSTATUS(status));
 }
 
-/* Spans of a trace that take half a second or more, in whole seconds. */
+/* Prints spans of half a second or more, in whole seconds. */
 static void
 run_trace(struct script *script)
 {
@@ -934,7 +980,7 @@
 	    &script->out, "%u\n", script->testbed.store.objects_count);
 }
 
-/* Reads all results and prints only how many, and how long they are. */
+/* Reads all results; prints their number and the length of their lines. */
 static void
 run_results_size(struct script *script)
 {
@@ -998,9 +1044,9 @@
 	    script->words_count > 1 ? script->words[1] : "");
 }
 
-/* What a node's path to the store does; other nodes' paths stay. */
+/* Sets the mode of the proxy between one node and the store. */
 static void
-run_path(struct script *script)
+run_proxy(struct script *script)
 {
 	proxy_set_mode(
 	    &testbed_node(&script->testbed, script->words[1])->store_proxy,
@@ -1019,7 +1065,7 @@
 	    script->words_count > 3 ? (unsigned)atoi(script->words[3]) : 0;
 }
 
-/* What is running slows down, too. */
+/* Affects streams that are open, too. */
 static void
 run_pace(struct script *script)
 {
@@ -1037,7 +1083,7 @@
 	if (strcmp(script->words[0], "drain") == 0) {
 		server->draining = true;
 		testbed_server_publish(server);
-	} else if (strcmp(script->words[0], "beat") == 0) {
+	} else if (strcmp(script->words[0], "heartbeat") == 0) {
 		testbed_server_publish(server);
 	} else if (strcmp(script->words[0], "remove") == 0) {
 		testbed_store_remove(&testbed->store, "servers", server->name);
@@ -1056,22 +1102,23 @@
 		void (*run)(struct script *script);
 	} commands[] = {{"server", run_server}, {"route", run_route},
 	    {"unroute", run_unroute}, {"config", run_config},
-	    {"name", run_set_version}, {"node", run_node}, {"stop", run_stop},
-	    {"ready", run_ready}, {"call", run_call}, {"raw", run_raw},
-	    {"submit", run_submit}, {"results", run_results}, {"end", run_end},
-	    {"item", run_item}, {"store", run_store}, {"fault", run_fault},
-	    {"drain", run_server_change}, {"remove", run_server_change},
-	    {"garble", run_server_change}, {"beat", run_server_change},
-	    {"metrics", run_metrics}, {"ran", run_ran}, {"prompt", run_prompt},
-	    {"until-some", run_wait_version}, {"orders", run_totals},
+	    {"set-version", run_set_version}, {"node", run_node},
+	    {"stop", run_stop}, {"ready", run_ready}, {"call", run_call},
+	    {"raw", run_raw}, {"submit", run_submit}, {"results", run_results},
+	    {"end", run_end}, {"item", run_item}, {"store", run_store},
+	    {"fault", run_fault}, {"drain", run_server_change},
+	    {"remove", run_server_change}, {"corrupt", run_server_change},
+	    {"heartbeat", run_server_change}, {"metrics", run_metrics},
+	    {"ran", run_ran}, {"prompt", run_prompt},
+	    {"wait-version", run_wait_version}, {"orders", run_totals},
 	    {"rows", run_rows}, {"silent-part", run_silent_part},
-	    {"until-rows", run_wait_rows}, {"objects", run_objects},
-	    {"lengths", run_results_size}, {"running", run_totals},
+	    {"wait-rows", run_wait_rows}, {"objects", run_objects},
+	    {"results-size", run_results_size}, {"running", run_totals},
 	    {"ctl", run_ctl}, {"trace", run_trace}, {"resumed", run_resumed},
-	    {"again", run_repeated_events}, {"explain", run_explain},
-	    {"path", run_path}, {"pace", run_pace},
-	    {"crowd", run_concurrent_calls}, {"priority", run_priority},
-	    {"detours", run_detours}};
+	    {"repeated-events", run_repeated_events}, {"explain", run_explain},
+	    {"proxy", run_proxy}, {"pace", run_pace},
+	    {"concurrent-calls", run_concurrent_calls},
+	    {"priority", run_priority}, {"detours", run_detours}};
 	struct testbed *testbed = &script->testbed;
 	size_t i;
 
@@ -1084,7 +1131,7 @@
 		testbed_run_for(testbed, (unsigned)atoi(script->words[1]));
 	else if (strcmp(script->words[0], "kill") == 0)
 		testbed_node_kill(testbed_node(testbed, script->words[1]));
-	else if (strcmp(script->words[0], "forget") == 0)
+	else if (strcmp(script->words[0], "trim-history") == 0)
 		testbed->store.history_from_revision = testbed->store.revision;
 	else
 		kwb_buf_printf(&script->out, "no such command\n");
@@ -1194,7 +1241,7 @@
 	return same;
 }
 
-/* The logs go to a file of their own, which "explain" reads. */
+/* Writes the log to a file, which "explain" and "trace" read. */
 static bool
 redirect_log_to_file(void)
 {
@@ -1215,7 +1262,7 @@
 	size_t i;
 
 	signal(SIGPIPE, SIG_IGN);
-	kwb_log_init("stage", KWB_LOG_INFO);
+	kwb_log_init("testbed", KWB_LOG_INFO);
 	if (log_level == NULL && !redirect_log_to_file())
 		return 1;
 	memset(&found, 0, sizeof(found));
--- a/tests/platform/server.c
+++ b/tests/platform/server.c
@@ -1,7 +1,7 @@
 /*
- * Stand-in of the platform's servers. A plain one answers with the request's
- * body; a model server streams as many events as the body asks for, "events=N",
- * and resumes where it is told to.
+ * Fakes of the platform's upstream servers. A plain one answers with the
+ * request's body. A model server streams as many events as the body asks for,
+ * "events=N", and resumes after the event that Last-Event-Id names.
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -13,13 +13,14 @@
 
 #define STALL_POLL_MS 20
 
+/* An answer of a model server that is being sent. */
 struct stream {
 	struct testbed_server *server;
 	struct recorded_run *run;
-	unsigned next_event; /* event to send */
+	unsigned next_event; /* to send, from 1 */
 	unsigned event_count;
-	bool skips_event;
-	bool is_truncated;
+	bool skips_event;  /* event 3 is left out */
+	bool is_truncated; /* ends in the middle of event 3 */
 };
 
 static const char *
@@ -75,7 +76,7 @@
 		    request_header(session, "Attempt-Id"));
 }
 
-/* Faults that take the place of an answer; false when there is none. */
+/* Answers as the fault says; false if it doesn't replace the answer. */
 static bool
 try_answer_with_fault(struct http_session *session, enum server_fault fault)
 {
@@ -134,7 +135,7 @@
 	}
 }
 
-/* Says that the request has not run, and why; false when it may run. */
+/* Answers that the request has not run, and why; false if it may run. */
 static bool
 try_refuse(struct http_session *session, enum server_fault fault)
 {
@@ -164,12 +165,12 @@
 	return true;
 }
 
-/* ---- Bytes without end -----------------------------------------------------
- */
+/* ---- Endless answers
+ * -------------------------------------------------------- */
 
-#define ENDLESS_WRITE_BYTES 32768 /* at a time, while the other side reads */
+#define ENDLESS_WRITE_BYTES 32768 /* buffered at a time */
 
-/* A kept connection may have had another answer in pieces before. */
+/* Replaces the timer of an earlier answer on a kept connection. */
 static void
 session_start_timer(struct http_session *session,
     void (*on_time)(int fd, short what, void *context), uint64_t deadline_ns)
@@ -319,8 +320,8 @@
 	session->handler_state = NULL;
 }
 
-/* ---- Orders and reports
- * -------------------------------------------------------- */
+/* ---- Weight orders and reports
+ * ---------------------------------------------- */
 
 static void
 record_order(struct testbed_server *server, const json_t *body, uint64_t fence)
--- a/tests/platform/stage.c
+++ b/tests/platform/stage.c
@@ -1,5 +1,5 @@
 /*
- * The testbed: what stands on one event loop, and time passing there.
+ * Testbed: nodes and fakes on one event loop, which runs for a given time.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -86,8 +86,9 @@
 }
 
 /*
- * A free port below those that the kernel gives to outgoing connections, or one
- * of these may hold it when a process that listens there is started again.
+ * Ports are picked below the range that the kernel uses for outgoing
+ * connections: one of these could otherwise hold the port when a process that
+ * listens there is started again.
  */
 void
 testbed_pick_address(struct kwb_address *address)
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -1,6 +1,7 @@
 /*
- * A testbed for tests of the node: nodes, a stand-in of the platform's store
- * and stand-ins of its servers, all on one event loop and on loopback.
+ * Testbed for tests of kwb-node: nodes, a fake of the platform's store and
+ * fakes of its upstream servers. All of them run in one process, on one event
+ * loop, and listen on loopback. Failures of setup abort the process.
  */
 #ifndef KWB_TESTS_STAGE_H
 #define KWB_TESTS_STAGE_H
@@ -18,14 +19,20 @@
 #define RECORDED_RUNS_MAX 16384
 #define RECORDED_ORDERS_MAX 2048
 
-/* ---- A small HTTP server --------------------------------------------------
+/* ---- HTTP listener
+ * ---------------------------------------------------------- */
+
+/*
+ * A small HTTP/1.1 server on a free loopback port, which the fake store and
+ * the fake servers share.
  */
 
+/* An accepted connection; it handles one request at a time. */
 struct http_session {
 	struct kwb_conn conn;
 	struct http_listener *listener;
-	struct event *timer; /* of an answer in pieces, or one held back */
-	void *handler_state; /* of the handler */
+	struct event *timer; /* for an answer in pieces; NULL until then */
+	void *handler_state; /* of the request in work; NULL if none */
 	TAILQ_ENTRY(http_session) entry;
 };
 
@@ -34,37 +41,49 @@
 struct http_listener {
 	struct event_base *base;
 	struct evconnlistener *ev_listener;
-	struct kwb_address address;
+	struct kwb_address address; /* that it listens on */
 	struct http_session_list sessions;
 	void (*on_request)(struct http_session *session);
-	void (*on_close)(struct http_session *session); /* frees its work */
-	void *context;
+	/* frees handler_state; NULL if there is none to free */
+	void (*on_close)(struct http_session *session);
+	void *context; /* the fake store or fake server */
 };
 
+/* Listens on a free port; returns 0 or KWB_ERR_SYSTEM. */
 int http_listener_open(struct http_listener *listener, struct event_base *base,
     void (*on_request)(struct http_session *session),
     void (*on_close)(struct http_session *session), void *context);
+/* Stops listening and closes all connections. */
 void http_listener_close(struct http_listener *listener);
+/*
+ * Sends a whole answer; headers are lines that end with CRLF, or "". Then the
+ * connection reads its next request.
+ */
 void http_session_answer(struct http_session *session, unsigned status,
     const char *headers, const void *body, size_t body_bytes);
+/* Closes and frees the connection; with reset by a TCP reset. */
 void http_session_close(struct http_session *session, bool reset);
 
-/* ---- The store --------------------------------------------------------------
+/* ---- Fake store
+ * ------------------------------------------------------------- */
+
+/*
+ * The platform's store: rows with revisions, transactions, change feeds and
+ * objects, all in memory.
  */
 
 enum store_fault {
 	STORE_FAULT_NONE,
-	STORE_FAULT_503,	    /* 503 */
-	STORE_FAULT_429,	    /* 429 */
-	STORE_FAULT_RESET,	    /* closes */
-	STORE_FAULT_SILENT,	    /* answers nothing */
-	STORE_FAULT_LOSE_ANSWER,    /* writes are done and not answered */
-	STORE_FAULT_DELAY_WRITE,    /* writes are done 300 ms later and not
-				       answered */
-	STORE_FAULT_NO_WRITE_ANSWER /* writes are done, their connections say no
-				       more */
+	STORE_FAULT_503,	 /* answers 503 to every call */
+	STORE_FAULT_429,	 /* answers 429 to every call */
+	STORE_FAULT_RESET,	 /* resets the connection of every call */
+	STORE_FAULT_SILENT,	 /* answers no call, keeps connections open */
+	STORE_FAULT_LOSE_ANSWER, /* applies a write, then resets */
+	STORE_FAULT_DELAY_WRITE, /* resets, applies the write 300 ms later */
+	STORE_FAULT_NO_WRITE_ANSWER /* applies a write, never answers it */
 };
 
+/* The newest revision of a row; a removed row stays, for the feeds. */
 struct testbed_row {
 	char *table;
 	char *part;
@@ -73,81 +92,95 @@
 	uint64_t revision;
 };
 
+/* A value that is too long for a row. */
 struct testbed_object {
 	char *name;
 	struct kwb_buf data;
 };
 
-struct delayed_write; /* done later, without an answer */
+struct delayed_write; /* of STORE_FAULT_DELAY_WRITE */
 TAILQ_HEAD(delayed_write_list, delayed_write);
 
 struct testbed_store {
 	struct http_listener port;
-	struct event *feeds_timer;
+	struct event *feeds_timer; /* answers waiting feeds, each 5 ms */
 	struct testbed_row rows[TESTBED_ROWS_MAX];
 	unsigned rows_count;
 	struct testbed_object objects[64];
 	unsigned objects_count;
-	uint64_t revision;
-	uint64_t history_from_revision; /* feeds from before this get 410 */
+	uint64_t revision;		/* of the newest write */
+	uint64_t history_from_revision; /* feeds that start earlier get 410 */
 	enum store_fault fault;
-	unsigned fault_remaining; /* writes that it hits; 0 for all */
-	char silent_part[64]; /* calls about it are not answered; "" for none */
-	uint64_t begin_ns;
+	/*
+	 * Writes that a fault of writes still affects, from
+	 * STORE_FAULT_LOSE_ANSWER on; 0: all, until the fault is changed.
+	 */
+	unsigned fault_remaining;
+	char silent_part[64]; /* calls about this part get no answer; or "" */
+	uint64_t begin_ns;    /* when it was opened */
 	struct delayed_write_list delayed_writes;
 };
 
+/* Starts an empty store; returns 0 or KWB_ERR_SYSTEM. */
 int testbed_store_open(struct testbed_store *store, struct event_base *base);
 void testbed_store_close(struct testbed_store *store);
+/* Writes a row without a part, as an operator or a server does. */
 void testbed_store_put(struct testbed_store *store, const char *table,
-    const char *key, const char *text); /* as the operator or a server */
+    const char *key, const char *text);
+/* Removes such a row. */
 void testbed_store_remove(
     struct testbed_store *store, const char *table, const char *key);
+/* Returns the row, or NULL if it doesn't exist. */
 const struct testbed_row *testbed_store_find(const struct testbed_store *store,
     const char *table, const char *part, const char *key);
 
-/* ---- A server: a plain service, or a model server
- * ----------------------------- */
+/* ---- Fake servers
+ * ----------------------------------------------------------- */
+
+/*
+ * Upstream servers: plain ones that answer with the request's body, and model
+ * servers that stream events and load weights when ordered to.
+ */
 
 enum server_fault {
 	SERVER_FAULT_NONE,
-	SERVER_FAULT_REFUSE,	   /* 503, not run */
-	SERVER_FAULT_500,	   /* 500 */
-	SERVER_FAULT_422,	   /* 422 */
-	SERVER_FAULT_RESET,	   /* runs it and closes without an answer */
-	SERVER_FAULT_SILENT,	   /* runs it and says nothing */
-	SERVER_FAULT_WRONG_ID,	   /* the answer of another request */
-	SERVER_FAULT_TRUNCATE,	   /* ends in the middle of the body */
-	SERVER_FAULT_EXTRA_ANSWER, /* a second answer behind the first */
-	SERVER_FAULT_NO_LENGTH,	   /* no length, ends with the connection */
-	SERVER_FAULT_NOT_HTTP,	   /* no HTTP */
-	SERVER_FAULT_NO_RECEIPT,   /* 200 without receipt */
-	SERVER_FAULT_SKIP_EVENT,   /* a stream lacks an event */
+	SERVER_FAULT_REFUSE,	   /* 503 that says "not executed" */
+	SERVER_FAULT_500,	   /* answers 500 */
+	SERVER_FAULT_422,	   /* answers 422 */
+	SERVER_FAULT_RESET,	   /* runs the request, then resets */
+	SERVER_FAULT_SILENT,	   /* runs the request, never answers */
+	SERVER_FAULT_WRONG_ID,	   /* answers with another request's id */
+	SERVER_FAULT_TRUNCATE,	   /* closes in the middle of the body */
+	SERVER_FAULT_EXTRA_ANSWER, /* sends a second answer after the first */
+	SERVER_FAULT_NO_LENGTH,	   /* body ends with the connection */
+	SERVER_FAULT_NOT_HTTP,	   /* sends text that isn't HTTP */
+	SERVER_FAULT_NO_RECEIPT,   /* 200 without a receipt */
+	SERVER_FAULT_SKIP_EVENT,   /* leaves the third event of a stream out */
 	SERVER_FAULT_MISDIRECTED,  /* 421: another server has the address */
-	SERVER_FAULT_STALL,	   /* sends nothing more on what is open */
-	SERVER_FAULT_ENDLESS_HEAD, /* a header line without end */
-	SERVER_FAULT_ENDLESS_BODY, /* a body without end */
-	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk's length without end */
-	SERVER_FAULT_ENDLESS_LINE,	 /* a stream's line without end */
-	SERVER_FAULT_COMMENTS_ONLY /* a stream's comment each 100 ms, no event
-				    */
+	SERVER_FAULT_STALL,	   /* open streams send nothing more */
+	SERVER_FAULT_ENDLESS_HEAD, /* a header line that never ends */
+	SERVER_FAULT_ENDLESS_BODY, /* a body that never ends */
+	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk size that never ends */
+	SERVER_FAULT_ENDLESS_LINE,	 /* a stream's line that never ends */
+	SERVER_FAULT_COMMENTS_ONLY /* a stream of comments, one each 100 ms */
 };
 
+/* An execution of a request by a fake server. */
 struct recorded_run {
-	char id[64];
-	char server[32];
-	char prompt[64]; /* its parts */
-	char priority[4];
-	unsigned from; /* first event */
-	unsigned sent; /* last event */
+	char id[64];	  /* Attempt-Id */
+	char server[32];  /* name */
+	char prompt[64];  /* Prompt-Prefix; "" if none */
+	char priority[4]; /* Priority-Class; "" if none */
+	unsigned from;	  /* first event, from 1; 0: not a stream */
+	unsigned sent;	  /* last event that was sent */
 };
 
-/* An order as it arrived, taken or not. */
+/* An order to load weights, whether the server accepted it or not. */
 struct recorded_order {
 	const struct testbed_server *server;
-	char holder[32];
-	uint64_t fence;
-	uint64_t at_ns;
+	char holder[32]; /* node that sent it */
+	uint64_t fence;	 /* its fencing token */
+	uint64_t at_ns;	 /* when it arrived */
 };
 
 struct testbed_server {
@@ -156,29 +189,33 @@
 	char name[32];
 	char service[32];
 	struct kwb_address advertised; /* in its row; port 0: its own */
-	bool engine;
-	bool ignores_fences;
-	bool listed;
+	bool engine;		       /* a model server */
+	bool ignores_fences;	       /* accepts orders with old tokens */
+	bool listed;		       /* its row was written */
 	bool draining;
-	unsigned slots;
-	unsigned running;
-	uint64_t version;
-	uint64_t seq;
-	uint64_t fence;
-	unsigned pace_ms;
-	unsigned load_ms;
+	unsigned slots;	  /* streams at a time that it reports */
+	unsigned running; /* streams open now */
+	uint64_t version; /* of the weights */
+	uint64_t seq;	  /* orders accepted; an order must name it */
+	uint64_t fence;	  /* highest fencing token seen */
+	unsigned pace_ms; /* between two events of a stream */
+	unsigned load_ms; /* how long a load of weights takes */
 	uint64_t loading_until_ns;
 	enum server_fault fault;
-	unsigned fault_remaining; /* requests that it hits; 0 for all */
-	unsigned orders;
+	unsigned fault_remaining; /* requests still affected; 0: all */
+	unsigned orders;	  /* accepted so far */
 };
 
+/* Starts a server whose fields are set and publishes it. */
 void testbed_server_open(
     struct testbed_server *server, struct testbed *testbed);
-void testbed_server_publish(struct testbed_server *server); /* writes its row */
+/* Writes its row in the store, which is its heartbeat, too. */
+void testbed_server_publish(struct testbed_server *server);
+
+/* ---- Testbed
+ * ------------------------------------------------------------------------- */
 
-/* ---- The testbed
- * --------------------------------------------------------------------- */
+/* The event loop and everything on it. */
 
 struct testbed_node {
 	char name[32];
@@ -186,34 +223,43 @@
 	struct kwb_node_settings settings;
 	struct platform_store store;
 	struct kwb_node node;
-	struct proxy store_proxy; /* to the store; open while has_path */
-	bool has_store_proxy;
-	bool has_no_peers; /* has no peers */
+	struct proxy store_proxy; /* between node and store */
+	bool has_store_proxy;	  /* it is open; it outlives the node */
+	bool has_no_peers;	  /* doesn't listen for other nodes */
 	struct testbed *testbed;
 };
 
 struct testbed {
 	struct event_base *base;
-	struct kwb_client client;
+	struct kwb_client client; /* of the test's own calls */
 	struct testbed_store store;
 	struct testbed_server servers[TESTBED_SERVERS_MAX];
 	unsigned servers_count;
 	struct testbed_node nodes[TESTBED_NODES_MAX];
 	unsigned nodes_count;
+	/* What all servers got, in order of arrival. */
 	struct recorded_run runs[RECORDED_RUNS_MAX];
 	unsigned runs_count;
 	struct recorded_order orders[RECORDED_ORDERS_MAX];
 	unsigned orders_count;
 };
 
+/* Creates the event loop and opens the store. */
 void testbed_init(struct testbed *testbed);
+/* Closes and frees everything; nodes that run are killed. */
 void testbed_finish(struct testbed *testbed);
+/* Runs the event loop for this many milliseconds. */
 void testbed_run_for(struct testbed *testbed, unsigned length_ms);
+/* Returns the node of this name; adds it, not started, if it is new. */
 struct testbed_node *testbed_node(struct testbed *testbed, const char *name);
+/* Returns the server of this name; adds it, not started, if it is new. */
 struct testbed_server *testbed_server(
     struct testbed *testbed, const char *name);
+/* Starts a node on free ports, with its path to the store via a proxy. */
 void testbed_node_start(struct testbed_node *node);
+/* Ends a node at once, without a handover. */
 void testbed_node_kill(struct testbed_node *node);
-void testbed_pick_address(struct kwb_address *address); /* a free port */
+/* Sets a loopback address with a port that is free now. */
+void testbed_pick_address(struct kwb_address *address);
 
 #endif
--- a/tests/platform/store.c
+++ b/tests/platform/store.c
@@ -1,6 +1,6 @@
 /*
- * Stand-in of the platform's store: rows, transactions, feeds and objects in
- * memory, with faults that a test switches on.
+ * Fake of the platform's store: rows, transactions, change feeds and objects
+ * in memory, with faults that a test turns on.
  */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
@@ -12,12 +12,14 @@
 
 #define WRITE_DELAY_MS 300
 
+/* A feed call that waits for changes. */
 struct feed_wait {
 	char table[64];
-	uint64_t after;
+	uint64_t after; /* revision that the caller knows */
 	uint64_t deadline_ns;
 };
 
+/* A transaction that is applied after its connection was reset. */
 struct delayed_write {
 	json_t *body;
 	struct testbed_store *store;
@@ -113,7 +115,10 @@
 	return text ? text : "";
 }
 
-/* Applies a transaction; the rows that stand in its way, or NULL. */
+/*
+ * Applies a transaction and returns NULL; or, if rows don't have the revisions
+ * that it expects, changes nothing and returns these rows.
+ */
 static json_t *
 apply_transaction(struct testbed_store *store, const json_t *body)
 {
@@ -257,7 +262,7 @@
 	    json_pack("{s:o, s:b}", "rows", rows, "has-more", i < count));
 }
 
-/* Answers a feed when there is news, or its time is up. */
+/* Answers a feed if rows have changed or its wait is over. */
 static bool
 feed_try_answer(struct http_session *session)
 {
@@ -369,7 +374,7 @@
 	}
 }
 
-/* Of a read by its query, of a transaction by its rows. */
+/* A read names its part in the query, a transaction in its rows. */
 static bool
 is_about_part(const struct kwb_message *message, const char *part)
 {
