--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -59,7 +59,7 @@
  *   $ proxy NODE MODE             path from a node to it; see proxy_mode_names
  *   $ rows TABLE, $ objects       how many there are
  *   $ wait-rows TABLE N           until there are N; how many there are
- *   $ detours                     calls of nodes through a peer so far
+ *   $ detours                     how often a node took the path through a peer
  *
  * Others:
  *   $ wait MS
@@ -201,7 +201,7 @@
 print_answer(struct script *script, struct call *call)
 {
 	struct kwb_message *answer = kwb_exchange_answer(&call->exchange);
-	const char *after = kwb_message_header(answer, "Retry-After");
+	const char *retry_after = kwb_message_header(answer, "Retry-After");
 	const char *receipt = kwb_message_header(answer, "Server-Stamp");
 	size_t i;
 
@@ -220,8 +220,8 @@
 		    strstr(receipt, option(script, "id", "c1")) != NULL
 			? "receipt"
 			: "WRONG RECEIPT");
-	if (after != NULL)
-		kwb_buf_printf(&script->out, " after %s s", after);
+	if (retry_after != NULL)
+		kwb_buf_printf(&script->out, " after %s s", retry_after);
 	for (i = 0; i < answer->body.used_bytes; i++)
 		if (answer->body.data[i] == '\n')
 			answer->body.data[i] = ' ';
@@ -297,9 +297,9 @@
 	    testbed_node(&script->testbed, script->words[1]);
 	unsigned count = option_number(script, "calls", 100);
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
-	uint64_t before = peak_resident_bytes(true);
-	uint64_t most;
-	unsigned whole = 0;
+	uint64_t start_bytes = peak_resident_bytes(true);
+	uint64_t peak_bytes;
+	unsigned succeeded = 0;
 	unsigned done = 0;
 	char headers[128];
 	unsigned i;
@@ -326,15 +326,16 @@
 		for (i = 0, done = 0; i < count; i++)
 			done += calls[i].done;
 	}
-	most = peak_resident_bytes(false);
+	peak_bytes = peak_resident_bytes(false);
 	for (i = 0; i < count; i++) {
-		whole += calls[i].done &&
+		succeeded += calls[i].done &&
 		    kwb_exchange_answer(&calls[i].exchange)->status == 200;
 		kwb_exchange_finish(&calls[i].exchange);
 	}
 	kwb_buf_printf(&script->out, "%u ended, %u with 200, %s %u MB\n", done,
-	    whole,
-	    most - before < option_number(script, "mb", 64) * 1048576ull
+	    succeeded,
+	    peak_bytes - start_bytes <
+		    option_number(script, "mb", 64) * 1048576ull
 		? "grew by less than"
 		: "grew by more than",
 	    option_number(script, "mb", 64));
@@ -342,12 +343,14 @@
 
 static void
 call_node(struct script *script, struct call *call, const char *node,
-    const char *method, const char *target, const char *more, const char *body)
+    const char *method, const char *target, const char *extra_headers,
+    const char *body)
 {
 	struct testbed_node *target_node = testbed_node(&script->testbed, node);
 	char headers[256];
 
-	snprintf(headers, sizeof(headers), "Host: " HOST "\r\n%s", more);
+	snprintf(
+	    headers, sizeof(headers), "Host: " HOST "\r\n%s", extra_headers);
 	call_run(&script->testbed, call, &target_node->settings.listen,
 	    request_new(method, target, headers, body, strlen(body)), 0);
 }
@@ -423,12 +426,13 @@
 {
 	const char *batch = script->words[2];
 	char *body = batch_body(script, batch);
-	char more[96];
+	char extra_headers[96];
 	struct call call;
 
-	snprintf(more, sizeof(more), "Attempt-Id: %s\r\n", batch);
-	call_node(
-	    script, &call, script->words[1], "POST", "/gen/x", more, body);
+	snprintf(
+	    extra_headers, sizeof(extra_headers), "Attempt-Id: %s\r\n", batch);
+	call_node(script, &call, script->words[1], "POST", "/gen/x",
+	    extra_headers, body);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 	free(body);
@@ -550,10 +554,10 @@
 
 	kwb_text_copy(server->service, sizeof(server->service),
 	    option(script, "service", "shop"));
-	server->engine = option_number(script, "engine", 0) != 0;
+	server->is_model_server = option_number(script, "engine", 0) != 0;
 	server->slots = option_number(script, "slots", 4);
 	server->pace_ms = option_number(script, "pace", 10);
-	server->load_ms = option_number(script, "load", 900);
+	server->load_duration_ms = option_number(script, "load", 900);
 	server->version = option_number(script, "version", 1);
 	testbed_server_open(server, &script->testbed);
 }
@@ -716,9 +720,9 @@
 	kwb_buf_printf(&script->out, "%u", count);
 	for (i = 0; i < testbed->runs_count; i++)
 		if (strcmp(testbed->runs[i].id, script->words[1]) == 0 &&
-		    testbed->runs[i].from > 0)
-			kwb_buf_printf(
-			    &script->out, " from %u", testbed->runs[i].from);
+		    testbed->runs[i].first_event > 0)
+			kwb_buf_printf(&script->out, " from %u",
+			    testbed->runs[i].first_event);
 	kwb_buf_printf(&script->out, "\n");
 }
 
@@ -740,14 +744,14 @@
 run_resumed(struct script *script)
 {
 	const struct testbed *testbed = &script->testbed;
-	unsigned from = 0;
+	unsigned first_event = 0;
 	unsigned i;
 
 	for (i = 0; i < testbed->runs_count; i++)
 		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
-			from = testbed->runs[i].from;
-	kwb_buf_printf(
-	    &script->out, from > 1 ? "resumed\n" : "from the first event\n");
+			first_event = testbed->runs[i].first_event;
+	kwb_buf_printf(&script->out,
+	    first_event > 1 ? "resumed\n" : "from the first event\n");
 }
 
 /* Prints whether later runs sent more events again than are allowed. */
@@ -755,22 +759,23 @@
 run_repeated_events(struct script *script)
 {
 	const struct testbed *testbed = &script->testbed;
-	unsigned most = (unsigned)atoi(script->words[2]);
-	unsigned sent = 0;
-	unsigned again = 0;
+	unsigned allowed = (unsigned)atoi(script->words[2]);
+	unsigned last_sent = 0;
+	unsigned repeated = 0;
 	unsigned i;
 
 	for (i = 0; i < testbed->runs_count; i++) {
 		if (strcmp(testbed->runs[i].id, script->words[1]) != 0)
 			continue;
-		if (testbed->runs[i].from <= sent)
-			again += sent + 1 - testbed->runs[i].from;
-		sent = testbed->runs[i].sent;
+		if (testbed->runs[i].first_event <= last_sent)
+			repeated +=
+			    last_sent + 1 - testbed->runs[i].first_event;
+		last_sent = testbed->runs[i].last_event;
 	}
-	if (again <= most)
-		kwb_buf_printf(&script->out, "at most %u again\n", most);
+	if (repeated <= allowed)
+		kwb_buf_printf(&script->out, "at most %u again\n", allowed);
 	else
-		kwb_buf_printf(&script->out, "%u again\n", again);
+		kwb_buf_printf(&script->out, "%u again\n", repeated);
 }
 
 /* Copies the value of a log line's field, or ""; name includes " " and "=". */
@@ -831,13 +836,13 @@
 	for (i = 0; i < testbed->runs_count; i++)
 		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
 			kwb_buf_printf(&script->out, "from %u priority %s\n",
-			    testbed->runs[i].from,
+			    testbed->runs[i].first_event,
 			    testbed->runs[i].priority[0] != '\0'
 				? testbed->runs[i].priority
 				: "none");
 }
 
-/* Prints how many calls to the store went through a peer in this script. */
+/* Prints how often nodes began to reach the store through a peer. */
 static void
 run_detours(struct script *script)
 {
@@ -875,7 +880,8 @@
 
 	for (i = 0; i < script->testbed.servers_count; i++) {
 		server = &script->testbed.servers[i];
-		count += orders ? server->orders : server->running;
+		count +=
+		    orders ? server->orders_accepted : server->streams_open;
 	}
 	kwb_buf_printf(&script->out, "%u\n", count);
 }
@@ -1081,7 +1087,7 @@
 	    testbed_server(testbed, script->words[1]);
 
 	if (strcmp(script->words[0], "drain") == 0) {
-		server->draining = true;
+		server->is_draining = true;
 		testbed_server_publish(server);
 	} else if (strcmp(script->words[0], "heartbeat") == 0) {
 		testbed_server_publish(server);
@@ -1186,29 +1192,32 @@
 	unsigned line = 1;
 
 	while (*actual != '\0' || *expected != '\0') {
-		size_t left = strcspn(actual, "\n");
-		size_t right = strcspn(expected, "\n");
+		size_t actual_length = strcspn(actual, "\n");
+		size_t expected_length = strcspn(expected, "\n");
 
-		if (left != right || strncmp(actual, expected, left) != 0) {
+		if (actual_length != expected_length ||
+		    strncmp(actual, expected, actual_length) != 0) {
 			printf("  line %u\n  expected: %.*s\n"
 			       "  printed:  %.*s\n",
-			    line, (int)right, expected, (int)left, actual);
+			    line, (int)expected_length, expected,
+			    (int)actual_length, actual);
 			return;
 		}
 		line++;
-		actual += left + (actual[left] != '\0');
-		expected += right + (expected[right] != '\0');
+		actual += actual_length + (actual[actual_length] != '\0');
+		expected +=
+		    expected_length + (expected[expected_length] != '\0');
 	}
 }
 
 static bool
-run_script_file(const char *path, bool write)
+run_script_file(const char *path, bool update)
 {
 	static struct script script;
 	struct kwb_buf actual;
 	struct kwb_buf expected;
 	FILE *file = fopen(path, "r");
-	bool same;
+	bool matches;
 
 	if (file == NULL) {
 		perror(path);
@@ -1222,15 +1231,15 @@
 	kwb_buf_init(&expected);
 	testbed_init(&script.testbed);
 	script.routes = json_array();
-	same = run_lines(&script, file, &actual, &expected);
+	matches = run_lines(&script, file, &actual, &expected);
 	fclose(file);
 	testbed_finish(&script.testbed);
 	json_decref(script.routes);
-	if (!same && write) {
+	if (!matches && update) {
 		file = fopen(path, "w");
 		fputs(kwb_buf_text(&actual), file);
 		fclose(file);
-	} else if (!same) {
+	} else if (!matches) {
 		printf("FAILED %s\n", path);
 		print_first_difference(
 		    kwb_buf_text(&actual), kwb_buf_text(&expected));
@@ -1238,7 +1247,7 @@
 	kwb_buf_finish(&script.out);
 	kwb_buf_finish(&actual);
 	kwb_buf_finish(&expected);
-	return same;
+	return matches;
 }
 
 /* Writes the log to a file, which "explain" and "trace" read. */
@@ -1253,33 +1262,33 @@
 int
 main(int argc, char **argv)
 {
-	bool write = argc > 1 && strcmp(argv[1], "--write") == 0;
+	bool update = argc > 1 && strcmp(argv[1], "--write") == 0;
 	const char *log_level = getenv("STAGE_LOG");
 	unsigned passed = 0;
 	unsigned failed = 0;
-	glob_t found;
-	int first = write ? 2 : 1;
+	glob_t paths;
+	int first = update ? 2 : 1;
 	size_t i;
 
 	signal(SIGPIPE, SIG_IGN);
 	kwb_log_init("testbed", KWB_LOG_INFO);
 	if (log_level == NULL && !redirect_log_to_file())
 		return 1;
-	memset(&found, 0, sizeof(found));
+	memset(&paths, 0, sizeof(paths));
 	if (argc > first) {
 		for (; first < argc; first++)
-			glob(argv[first], found.gl_pathc ? GLOB_APPEND : 0,
-			    NULL, &found);
+			glob(argv[first], paths.gl_pathc ? GLOB_APPEND : 0,
+			    NULL, &paths);
 	} else {
-		glob("tests/platform/scripts/*.txt", 0, NULL, &found);
+		glob("tests/platform/scripts/*.txt", 0, NULL, &paths);
 	}
-	for (i = 0; i < found.gl_pathc; i++) {
-		if (run_script_file(found.gl_pathv[i], write))
+	for (i = 0; i < paths.gl_pathc; i++) {
+		if (run_script_file(paths.gl_pathv[i], update))
 			passed++;
 		else
 			failed++;
 	}
-	globfree(&found);
+	globfree(&paths);
 	unlink(log_path);
 	printf("%u passed, %u failed\n", passed, failed);
 	return failed == 0 ? 0 : 1;
--- a/tests/platform/server.c
+++ b/tests/platform/server.c
@@ -33,7 +33,7 @@
 
 static void
 record_run(struct testbed_server *server, const struct http_session *session,
-    unsigned from)
+    unsigned first_event)
 {
 	struct testbed *testbed = server->testbed;
 	struct recorded_run *run = &testbed->runs[testbed->runs_count++];
@@ -47,7 +47,7 @@
 	kwb_text_copy(run->priority, sizeof(run->priority),
 	    request_header(session, "Priority-Class"));
 	kwb_text_copy(run->server, sizeof(run->server), server->name);
-	run->from = from;
+	run->first_event = first_event;
 }
 
 static enum server_fault
@@ -67,7 +67,7 @@
 	const struct testbed_server *server = session->listener->context;
 	int length = snprintf(out, out_capacity,
 	    "Attempt-Id: %s\r\nServer-Load: %u,0,%u\r\n",
-	    request_header(session, "Attempt-Id"), server->running,
+	    request_header(session, "Attempt-Id"), server->streams_open,
 	    server->slots);
 
 	if (has_receipt)
@@ -274,7 +274,7 @@
 	snprintf(text, sizeof(text), "id: %u\ndata: word%u\n\n",
 	    stream->next_event, stream->next_event);
 	write_chunk(out, text);
-	stream->run->sent = stream->next_event;
+	stream->run->last_event = stream->next_event;
 	stream->next_event++;
 	kwb_timer_arm(session->timer,
 	    kwb_clock_now_ns() + stream->server->pace_ms * KWB_MS_NS);
@@ -285,11 +285,11 @@
 {
 	struct testbed_server *server = session->listener->context;
 	struct stream *stream = calloc(1, sizeof(*stream));
-	const char *resume = request_header(session, "Last-Event-Id");
+	const char *last_event_id = request_header(session, "Last-Event-Id");
 	char headers[512];
 
 	stream->server = server;
-	stream->next_event = (unsigned)atoi(resume) + 1;
+	stream->next_event = (unsigned)atoi(last_event_id) + 1;
 	stream->event_count = 4;
 	stream->skips_event = fault == SERVER_FAULT_SKIP_EVENT;
 	stream->is_truncated = fault == SERVER_FAULT_TRUNCATE;
@@ -297,7 +297,7 @@
 	    &stream->event_count);
 	record_run(server, session, stream->next_event);
 	stream->run = &server->testbed->runs[server->testbed->runs_count - 1];
-	server->running++;
+	server->streams_open++;
 	session->handler_state = stream;
 	format_common_headers(headers, sizeof(headers), session, true);
 	evbuffer_add_printf(kwb_conn_output(&session->conn),
@@ -315,7 +315,7 @@
 	struct stream *stream = session->handler_state;
 
 	if (stream != NULL)
-		stream->server->running--;
+		stream->server->streams_open--;
 	free(stream);
 	session->handler_state = NULL;
 }
@@ -334,7 +334,7 @@
 		abort();
 	order->server = server;
 	order->fence = fence;
-	order->at_ns = kwb_clock_now_ns();
+	order->received_ns = kwb_clock_now_ns();
 	kwb_text_copy(order->holder, sizeof(order->holder),
 	    json_string_value(json_object_get(body, "holder")));
 }
@@ -365,10 +365,10 @@
 		server->fence = fence;
 	if (status == 202) {
 		server->seq++;
-		server->orders++;
+		server->orders_accepted++;
 		server->version = version;
 		server->loading_until_ns =
-		    kwb_clock_now_ns() + server->load_ms * KWB_MS_NS;
+		    kwb_clock_now_ns() + server->load_duration_ms * KWB_MS_NS;
 	}
 	json_decref(body);
 	http_session_answer(session, status, "", "", 0);
@@ -384,7 +384,7 @@
 	    "\"busy\":%s,\"seq\":%llu,\"running\":%u,\"queued\":0}",
 	    (unsigned long long)server->version,
 	    kwb_clock_now_ns() < server->loading_until_ns ? "true" : "false",
-	    (unsigned long long)server->seq, server->running);
+	    (unsigned long long)server->seq, server->streams_open);
 
 	http_session_answer(session, 200, "", text, (size_t)length);
 }
@@ -409,7 +409,7 @@
 	fault = next_fault(server);
 	if (try_refuse(session, fault))
 		return;
-	if (server->engine &&
+	if (server->is_model_server &&
 	    (fault == SERVER_FAULT_NONE || fault == SERVER_FAULT_SKIP_EVENT ||
 		fault == SERVER_FAULT_TRUNCATE ||
 		fault == SERVER_FAULT_STALL)) {
@@ -439,15 +439,16 @@
 	    "\"version\":\"v1\",\"slots\":%u,\"state\":\"%s\",\"seq\":%llu,"
 	    "\"born\":1700000000000%s",
 	    server->service, address->ip, address->port, server->slots,
-	    server->draining ? "draining" : "ready",
-	    (unsigned long long)server->seq, server->engine ? "" : "}");
-	if (server->engine)
+	    server->is_draining ? "draining" : "ready",
+	    (unsigned long long)server->seq,
+	    server->is_model_server ? "" : "}");
+	if (server->is_model_server)
 		snprintf(text + strlen(text), sizeof(text) - strlen(text),
 		    ",\"models\":[{\"name\":\"m\",\"version\":%llu}]}",
 		    (unsigned long long)server->version);
 	testbed_store_put(
 	    &server->testbed->store, "servers", server->name, text);
-	server->listed = true;
+	server->is_published = true;
 }
 
 void
--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -551,7 +551,7 @@
 	    &soak->testbed.servers[draw(soak, SERVERS)];
 
 	server->fault = faults[draw(soak, 9)];
-	if (server->engine && server->fault != SERVER_FAULT_REFUSE &&
+	if (server->is_model_server && server->fault != SERVER_FAULT_REFUSE &&
 	    server->fault != SERVER_FAULT_MISDIRECTED)
 		server->fault = SERVER_FAULT_TRUNCATE;
 	server->fault_remaining = 1 + draw(soak, 6);
@@ -701,10 +701,11 @@
 			    (unsigned long long)order->fence,
 			    (unsigned long long)before->fence);
 		if (strcmp(before->holder, order->holder) != 0 &&
-		    order->at_ns - before->at_ns < LEASE_MS * KWB_MS_NS)
+		    order->received_ns - before->received_ns <
+			LEASE_MS * KWB_MS_NS)
 			fail(soak, "%s orders %llu ms after %s", order->holder,
-			    (unsigned long long)((order->at_ns -
-						     before->at_ns) /
+			    (unsigned long long)((order->received_ns -
+						     before->received_ns) /
 				KWB_MS_NS),
 			    before->holder);
 	}
@@ -766,14 +767,14 @@
 	for (i = 0; i < SERVERS; i++) {
 		snprintf(name, sizeof(name), "s%u", i);
 		server = testbed_server(&soak->testbed, name);
-		server->engine = i >= PLAIN;
+		server->is_model_server = i >= PLAIN;
 		server->slots = 4;
 		server->pace_ms = 25;
-		server->load_ms = 300;
+		server->load_duration_ms = 300;
 		server->version = 1;
 		server->ignores_fences = !soak->fenced;
 		kwb_text_copy(server->service, sizeof(server->service),
-		    server->engine ? "engine" : "shop");
+		    server->is_model_server ? "engine" : "shop");
 		testbed_server_open(server, &soak->testbed);
 		if (proxy_open(&soak->proxies[i], soak->testbed.base,
 			&server->port.address) != 0)
--- a/tests/platform/stage.c
+++ b/tests/platform/stage.c
@@ -42,9 +42,9 @@
 }
 
 void
-testbed_run_for(struct testbed *testbed, unsigned length_ms)
+testbed_run_for(struct testbed *testbed, unsigned duration_ms)
 {
-	uint64_t end_ns = kwb_clock_now_ns() + length_ms * KWB_MS_NS;
+	uint64_t end_ns = kwb_clock_now_ns() + duration_ms * KWB_MS_NS;
 
 	while (kwb_clock_now_ns() < end_ns) {
 		event_base_loop(testbed->base, EVLOOP_NONBLOCK);
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -117,7 +117,7 @@
 	 */
 	unsigned fault_remaining;
 	char silent_part[64]; /* calls about this part get no answer; or "" */
-	uint64_t begin_ns;    /* when it was opened */
+	uint64_t opened_ns;
 	struct delayed_write_list delayed_writes;
 };
 
@@ -167,12 +167,12 @@
 
 /* An execution of a request by a fake server. */
 struct recorded_run {
-	char id[64];	  /* Attempt-Id */
-	char server[32];  /* name */
-	char prompt[64];  /* Prompt-Prefix; "" if none */
-	char priority[4]; /* Priority-Class; "" if none */
-	unsigned from;	  /* first event, from 1; 0: not a stream */
-	unsigned sent;	  /* last event that was sent */
+	char id[64];	      /* Attempt-Id */
+	char server[32];      /* name */
+	char prompt[64];      /* Prompt-Prefix; "" if none */
+	char priority[4];     /* Priority-Class; "" if none */
+	unsigned first_event; /* from 1; 0: not a stream */
+	unsigned last_event;  /* that was sent; 0: none */
 };
 
 /* An order to load weights, whether the server accepted it or not. */
@@ -180,7 +180,7 @@
 	const struct testbed_server *server;
 	char holder[32]; /* node that sent it */
 	uint64_t fence;	 /* its fencing token */
-	uint64_t at_ns;	 /* when it arrived */
+	uint64_t received_ns;
 };
 
 struct testbed_server {
@@ -189,21 +189,21 @@
 	char name[32];
 	char service[32];
 	struct kwb_address advertised; /* in its row; port 0: its own */
-	bool engine;		       /* a model server */
+	bool is_model_server;	       /* else a plain one */
 	bool ignores_fences;	       /* accepts orders with old tokens */
-	bool listed;		       /* its row was written */
-	bool draining;
-	unsigned slots;	  /* streams at a time that it reports */
-	unsigned running; /* streams open now */
-	uint64_t version; /* of the weights */
-	uint64_t seq;	  /* orders accepted; an order must name it */
-	uint64_t fence;	  /* highest fencing token seen */
-	unsigned pace_ms; /* between two events of a stream */
-	unsigned load_ms; /* how long a load of weights takes */
+	bool is_published;	       /* its row was written */
+	bool is_draining;
+	unsigned slots;		   /* streams at a time that it reports */
+	unsigned streams_open;	   /* now */
+	uint64_t version;	   /* of the weights */
+	uint64_t seq;		   /* orders accepted; an order must name it */
+	uint64_t fence;		   /* highest fencing token seen */
+	unsigned pace_ms;	   /* between two events of a stream */
+	unsigned load_duration_ms; /* how long a load of weights takes */
 	uint64_t loading_until_ns;
 	enum server_fault fault;
 	unsigned fault_remaining; /* requests still affected; 0: all */
-	unsigned orders;	  /* accepted so far */
+	unsigned orders_accepted; /* so far */
 };
 
 /* Starts a server whose fields are set and publishes it. */
@@ -215,8 +215,6 @@
 /* ---- Testbed
  * ------------------------------------------------------------------------- */
 
-/* The event loop and everything on it. */
-
 struct testbed_node {
 	char name[32];
 	bool is_running;
@@ -229,6 +227,7 @@
 	struct testbed *testbed;
 };
 
+/* The event loop and everything that runs on it. */
 struct testbed {
 	struct event_base *base;
 	struct kwb_client client; /* of the test's own calls */
@@ -249,7 +248,7 @@
 /* Closes and frees everything; nodes that run are killed. */
 void testbed_finish(struct testbed *testbed);
 /* Runs the event loop for this many milliseconds. */
-void testbed_run_for(struct testbed *testbed, unsigned length_ms);
+void testbed_run_for(struct testbed *testbed, unsigned duration_ms);
 /* Returns the node of this name; adds it, not started, if it is new. */
 struct testbed_node *testbed_node(struct testbed *testbed, const char *name);
 /* Returns the server of this name; adds it, not started, if it is new. */
--- a/tests/platform/store.c
+++ b/tests/platform/store.c
@@ -30,7 +30,7 @@
 static uint64_t
 store_now_ms(const struct testbed_store *store)
 {
-	return 1000 + (kwb_clock_now_ns() - store->begin_ns) / KWB_MS_NS;
+	return 1000 + (kwb_clock_now_ns() - store->opened_ns) / KWB_MS_NS;
 }
 
 static struct testbed_row *
@@ -458,7 +458,7 @@
 testbed_store_open(struct testbed_store *store, struct event_base *base)
 {
 	memset(store, 0, sizeof(*store));
-	store->begin_ns = kwb_clock_now_ns();
+	store->opened_ns = kwb_clock_now_ns();
 	store->revision = 1;
 	TAILQ_INIT(&store->delayed_writes);
 	store->feeds_timer = kwb_timer_new(base, feeds_on_timer, store);
