--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -31,9 +31,10 @@
  *
  * Requests to a node:
  *   $ call NODE METHOD PATH [id=ID] [deadline=MS] [body=TEXT] [host=H] [from=N]
- *       [leave=MS] [prompt=PARTS]
+ *       [disconnect=MS] [prompt=PARTS]
  *       status, whether the receipt is for this id, Retry-After if any, body;
- *       or the name of the error; or "left" if it took longer than leave=
+ *       or the name of the error; or "disconnected", after
+ *       disconnect= or 8 s without an end
  *   $ concurrent-calls NODE PATH [calls=N] [mb=N]  how many end, and whether
  *       the memory of the process grows by less than mb=
  *   $ raw NODE TEXT               sends TEXT, with _ for a space and \n for a
@@ -89,12 +90,13 @@
 
 static char log_path[] = "/tmp/kwb-tests-XXXXXX";
 
+/* A script that is running. */
 struct script {
 	struct testbed testbed;
-	json_t *routes;
-	char *words[WORDS_MAX];
+	json_t *routes;		/* of the next config */
+	char *words[WORDS_MAX]; /* of the command */
 	unsigned words_count;
-	struct kwb_buf out;
+	struct kwb_buf out; /* output of the command */
 };
 
 struct call {
@@ -113,6 +115,7 @@
     "endless-head", "endless-body", "endless-chunk-size", "endless-line",
     "comments-only", NULL};
 
+/* Returns the index of a name in a list; exits if it isn't there. */
 static int
 name_index(const char *const *names, const char *name)
 {
@@ -141,12 +144,18 @@
     .on_done = call_on_done,
 };
 
+/*
+ * Sends a request, frees it and runs the event loop until the answer is there,
+ * or for disconnect_ms at most; 0 stands for CALL_TIMEOUT_MS. Returns whether
+ * the call is done.
+ */
 static bool
 call_run(struct testbed *testbed, struct call *call,
-    const struct kwb_address *to, struct evbuffer *request, unsigned leave_ms)
+    const struct kwb_address *to, struct evbuffer *request,
+    unsigned disconnect_ms)
 {
-	uint64_t leave_ns = kwb_clock_now_ns() +
-	    (leave_ms ? leave_ms : CALL_TIMEOUT_MS) * KWB_MS_NS;
+	uint64_t disconnect_ns = kwb_clock_now_ns() +
+	    (disconnect_ms ? disconnect_ms : CALL_TIMEOUT_MS) * KWB_MS_NS;
 
 	memset(call, 0, sizeof(*call));
 	call->exchange.ops = &call_ops;
@@ -158,11 +167,12 @@
 		call->error = KWB_ERR_NET_CONNECT;
 	}
 	evbuffer_free(request);
-	while (!call->done && kwb_clock_now_ns() < leave_ns)
+	while (!call->done && kwb_clock_now_ns() < disconnect_ns)
 		testbed_run_for(testbed, 1);
 	return call->done;
 }
 
+/* Returns the value of an option NAME=VALUE of the command. */
 static const char *
 option(const struct script *script, const char *name, const char *fallback)
 {
@@ -206,7 +216,7 @@
 	size_t i;
 
 	if (!call->done) {
-		kwb_buf_printf(&script->out, "left\n");
+		kwb_buf_printf(&script->out, "disconnected\n");
 		return;
 	}
 	if (call->error != 0) {
@@ -255,7 +265,7 @@
 	call_run(&script->testbed, &call, &node->settings.listen,
 	    request_new(script->words[2], script->words[3], headers.data, body,
 		strlen(body)),
-	    option_number(script, "leave", 0));
+	    option_number(script, "disconnect", 0));
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 	kwb_buf_finish(&headers);
@@ -309,7 +319,7 @@
 		struct evbuffer *request;
 
 		snprintf(headers, sizeof(headers),
-		    "Host: " HOST "\r\nAttempt-Id: crowd%u\r\n", i);
+		    "Host: " HOST "\r\nAttempt-Id: call%u\r\n", i);
 		request =
 		    request_new("POST", script->words[2], headers, "x", 1);
 		calls[i].exchange.ops = &call_ops;
@@ -379,6 +389,7 @@
 /* ---- Batches
  * --------------------------------------------------------------------- */
 
+/* Returns a batch document as text, to be freed. */
 static char *
 batch_body(struct script *script, const char *batch)
 {
@@ -444,6 +455,7 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
+/* Appends a line for each result to lines; returns the new count. */
 static unsigned
 read_results(const json_t *document, char **lines, unsigned count)
 {
@@ -1159,6 +1171,10 @@
 	}
 }
 
+/*
+ * Runs all commands of a script. actual gets the script with the output that
+ * they print, expected the script as it is. Returns whether the two are equal.
+ */
 static bool
 run_lines(struct script *script, FILE *file, struct kwb_buf *actual,
     struct kwb_buf *expected)
@@ -1210,6 +1226,7 @@
 	}
 }
 
+/* Runs a script on a new testbed and returns whether it passed. */
 static bool
 run_script_file(const char *path, bool update)
 {
--- a/tests/platform/server.c
+++ b/tests/platform/server.c
@@ -50,6 +50,7 @@
 	run->first_event = first_event;
 }
 
+/* Returns the fault for the next request, and counts it. */
 static enum server_fault
 next_fault(struct testbed_server *server)
 {
@@ -211,6 +212,7 @@
 	kwb_timer_arm(session->timer, kwb_clock_now_ns() + KWB_MS_NS);
 }
 
+/* Starts an answer that never ends; false if the fault is another one. */
 static bool
 try_answer_endlessly(struct http_session *session, enum server_fault fault)
 {
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -157,7 +157,7 @@
 	SERVER_FAULT_NO_RECEIPT,   /* 200 without a receipt */
 	SERVER_FAULT_SKIP_EVENT,   /* leaves the third event of a stream out */
 	SERVER_FAULT_MISDIRECTED,  /* 421: another server has the address */
-	SERVER_FAULT_STALL,	   /* open streams send nothing more */
+	SERVER_FAULT_STALL,	   /* streams send nothing while it lasts */
 	SERVER_FAULT_ENDLESS_HEAD, /* a header line that never ends */
 	SERVER_FAULT_ENDLESS_BODY, /* a body that never ends */
 	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk size that never ends */
--- a/tests/platform/store.c
+++ b/tests/platform/store.c
@@ -27,6 +27,7 @@
 	TAILQ_ENTRY(delayed_write) entry;
 };
 
+/* The store's clock starts at 1000 ms. */
 static uint64_t
 store_now_ms(const struct testbed_store *store)
 {
@@ -56,6 +57,7 @@
 	return row != NULL && row->value != NULL ? row : NULL;
 }
 
+/* Writes a row at the store's current revision; value NULL removes it. */
 static void
 row_set(struct testbed_store *store, const char *table, const char *part,
     const char *key, const char *value)
@@ -75,6 +77,7 @@
 	row->revision = store->revision;
 }
 
+/* Returns a row as the store's JSON has it, or a tombstone if removed. */
 static json_t *
 row_json(const struct testbed_row *row)
 {
@@ -352,6 +355,7 @@
 	http_session_answer(session, 200, "", "", 0);
 }
 
+/* Applies a fault of all calls; false if the call is to be served. */
 static bool
 try_fault(struct http_session *session)
 {
