--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -33,8 +33,8 @@
  *   $ call NODE METHOD PATH [id=ID] [deadline=MS] [body=TEXT] [host=H] [from=N]
  *       [disconnect=MS] [prompt=PARTS]
  *       status, whether the receipt is for this id, Retry-After if any, body;
- *       or the name of the error; or "disconnected", after
- *       disconnect= or 8 s without an end
+ *       or the name of the error; or "disconnected" if there is no answer
+ *       within disconnect=, which is 8000 if not given
  *   $ concurrent-calls NODE PATH [calls=N] [mb=N]  how many end, and whether
  *       the memory of the process grows by less than mb=
  *   $ raw NODE TEXT               sends TEXT, with _ for a space and \n for a
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -160,7 +160,7 @@
 	SERVER_FAULT_STALL,	   /* streams send nothing while it lasts */
 	SERVER_FAULT_ENDLESS_HEAD, /* a header line that never ends */
 	SERVER_FAULT_ENDLESS_BODY, /* a body that never ends */
-	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk size that never ends */
+	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk size line that never ends */
 	SERVER_FAULT_ENDLESS_LINE,	 /* a stream's line that never ends */
 	SERVER_FAULT_COMMENTS_ONLY /* a stream of comments, one each 100 ms */
 };
