--- a/tests/platform/script.c
+++ b/tests/platform/script.c
@@ -1,29 +1,73 @@
 /* clang-format off: one command a line
  *
- * Scripts on the stage. A script's line that begins with "$ " is a command;
- * below it stands what it is expected to print.
+ * Runs test scripts on the testbed. A line of a script that begins with "$ " is
+ * a command, one that begins with "#" a comment; the lines below a command are
+ * the output that is expected from it.
  *
- *   $ server NAME service=S [engine=1] [slots=N] [pace=MS] [version=V] [load=MS]
- *   $ route NAME KIND PREFIX SERVICE [attempts=N] [timeout=MS] [target=MS]
- *       [ttl=S] [single=1] [resumable=1] [sticky=1] [split=SERVICE:WEIGHT]
- *   $ config VERSION              publishes the routes so far
- *   $ unroute NAME                leaves one out from now on
- *   $ node NAME, $ stop NAME, $ kill NAME, $ ready NAME
+ *   script [--write] [FILE ...]   FILEs, or all below tests/platform/scripts;
+ *       --write puts the actual output into scripts that fail
+ *
+ * If STAGE_LOG is set, the log goes to standard error; the commands "explain"
+ * and "trace" need it in a file.
+ *
+ * Servers, routes and nodes:
+ *   $ server NAME service=S [engine=1] [slots=N] [pace=MS] [version=V]
+ *       [load=MS]
+ *   $ pace SERVER MS              time between two events of its streams
+ *   $ fault SERVER FAULT [N]      see server_fault_names; for N requests only
+ *   $ heartbeat SERVER, $ drain SERVER, $ remove SERVER    its row
+ *   $ corrupt SERVER              makes its row unreadable
+ *   $ route NAME KIND PREFIX SERVICE [host=H] [attempts=N] [timeout=MS]
+ *       [target=MS] [ttl=S] [single=1] [resumable=1] [sticky=1]
+ *       [split=SERVICE:WEIGHT]
+ *   $ unroute NAME                leaves a route out from the next config on
+ *   $ config VERSION [body=BYTES] publishes the routes so far
+ *   $ set-version VERSION         publishes the newest version of model m
+ *   $ wait-version VERSION        until a server has it; the newest version
+ *   $ node NAME [peers=0] [keep=MS] [row=BYTES]            starts a node
+ *   $ stop NODE [wait=0]          with a handover of its batches
+ *   $ kill NODE                   without
+ *   $ ready NODE                  status of its readiness check
+ *
+ * Requests to a node:
  *   $ call NODE METHOD PATH [id=ID] [deadline=MS] [body=TEXT] [host=H] [from=N]
- *       [leave=MS] [prompt=PARTS]  status, Retry-After if any, body
+ *       [disconnect=MS] [prompt=PARTS]
+ *       status, whether the receipt is for this id, Retry-After if any, body;
+ *       or the name of the error; or "disconnected" if there is no answer
+ *       within disconnect=, which is 8000 if not given
+ *   $ concurrent-calls NODE PATH [calls=N] [mb=N]  how many end, and whether
+ *       the memory of the process grows by less than mb=
+ *   $ raw NODE TEXT               sends TEXT, with _ for a space and \n for a
+ *       line end; prints as "call" does
  *   $ submit NODE BATCH [items=N] [size=N] [events=N] [min=V] [target=N]
  *   $ results NODE BATCH          all results, by item
+ *   $ results-size NODE BATCH     their number and length only
  *   $ end NODE BATCH, $ item NODE BATCH ITEM
- *   $ silent-part [PART]          the store answers no calls about it
- *   $ store FAULT [N], $ fault SERVER FAULT [N], $ forget
- *   $ drain SERVER, $ remove SERVER, $ garble SERVER, $ name VERSION
- *   $ metrics NODE                their kinds
+ *   $ metrics NODE                their types
+ *
+ * What the servers got; ID is that of a request or item:
  *   $ ran ID                      how often, and from which events on
+ *   $ resumed ID                  whether its last run began after event 1
+ *   $ repeated-events ID N        whether at most N events were sent again
  *   $ prompt ID                   its parts, as the upstream was told
- *   $ orders SERVER, $ version SERVER, $ wait MS, $ until-version SERVER V
- *   $ rows TABLE, $ until-rows TABLE N    rows of the store
- *   $ ctl WORDS, $ trace trace BATCH LOG   kwb-nodectl; the latter's spans
- *   $ raw NODE TEXT               bytes on a connection; the status line
+ *   $ priority ID                 of each of its runs
+ *   $ orders, $ running           of all servers: loads, streams open now
+ *
+ * Store:
+ *   $ store FAULT [N]             see store_fault_names; for N writes only
+ *   $ silent-part [PART]          it answers no calls about this part
+ *   $ trim-history                feeds from before now get 410
+ *   $ proxy NODE MODE             path from a node to it; see proxy_mode_names
+ *   $ rows TABLE, $ objects       how many there are
+ *   $ wait-rows TABLE N           until there are N; how many there are
+ *   $ detours                     how often a node took the path through a peer
+ *
+ * Others:
+ *   $ wait MS
+ *   $ ctl WORDS                   output and exit code of kwb-nodectl
+ *   $ trace trace BATCH LOG       its spans of half a second or more; LOG
+ *       stands for the log file
+ *   $ explain ID                  log events about this id
  */
 /* clang-format on */
 #include <arpa/inet.h>
@@ -44,14 +88,15 @@
 #define CALL_TIMEOUT_MS 8000
 #define HOST "front.example"
 
-static char log_path[] = "/tmp/kwb-stage-XXXXXX";
+static char log_path[] = "/tmp/kwb-tests-XXXXXX";
 
+/* A script that is running. */
 struct script {
-	struct stage stage;
-	json_t *routes;
-	char *words[WORDS_MAX];
+	struct testbed testbed;
+	json_t *routes;		/* of the next config */
+	char *words[WORDS_MAX]; /* of the command */
 	unsigned words_count;
-	struct kwb_buf out;
+	struct kwb_buf out; /* output of the command */
 };
 
 struct call {
@@ -60,24 +105,26 @@
 	int error;
 };
 
-static const char *const store_faults[] = {
-    "ok", "busy", "many", "reset", "silent", "lost", "late", "mute", NULL};
-static const char *const path_modes[] = {
-    "ok", "delay", "reset", "oneway", "silent", "cut", NULL};
-static const char *const server_faults[] = {"ok", "refuse", "error", "never",
-    "reset", "silent", "other-id", "cut", "extra", "unframed", "garbage",
-    "no-receipt", "skip", "misdirected", "stall", "pour-head", "pour-body",
-    "pour-chunk", "pour-line", "trickle", NULL};
-
+static const char *const store_fault_names[] = {"ok", "503", "429", "reset",
+    "silent", "lose-answer", "delay-write", "no-write-answer", NULL};
+static const char *const proxy_mode_names[] = {"forward", "delay", "reset",
+    "drop-replies", "freeze-open", "blackhole", NULL};
+static const char *const server_fault_names[] = {"ok", "refuse", "500", "422",
+    "reset", "silent", "wrong-id", "truncate", "extra-answer", "no-length",
+    "not-http", "no-receipt", "skip-event", "misdirected", "stall",
+    "endless-head", "endless-body", "endless-chunk-size", "endless-line",
+    "comments-only", NULL};
+
+/* Returns the index of a name in a list; exits if it isn't there. */
 static int
-index_of(const char *const *names, const char *name)
+name_index(const char *const *names, const char *name)
 {
 	int i;
 
 	for (i = 0; names[i] != NULL; i++)
 		if (strcmp(names[i], name) == 0)
 			return i;
-	fprintf(stderr, "no such fault: %s\n", name);
+	fprintf(stderr, "unknown fault or mode: %s\n", name);
 	exit(2);
 }
 
@@ -85,7 +132,7 @@
  * --------------------------------------------------------------------- */
 
 static void
-call_done(struct kwb_exchange *exchange, int error)
+call_on_done(struct kwb_exchange *exchange, int error)
 {
 	struct call *call = exchange->context;
 
@@ -94,31 +141,38 @@
 }
 
 static const struct kwb_exchange_ops call_ops = {
-    .on_done = call_done,
+    .on_done = call_on_done,
 };
 
+/*
+ * Sends a request, frees it and runs the event loop until the answer is there,
+ * or for disconnect_ms at most; 0 stands for CALL_TIMEOUT_MS. Returns whether
+ * the call is done.
+ */
 static bool
-call_run(struct stage *stage, struct call *call, const struct kwb_address *to,
-    struct evbuffer *request, unsigned leave_ms)
+call_run(struct testbed *testbed, struct call *call,
+    const struct kwb_address *to, struct evbuffer *request,
+    unsigned disconnect_ms)
 {
-	uint64_t leave_ns = kwb_clock_now_ns() +
-	    (leave_ms ? leave_ms : CALL_TIMEOUT_MS) * KWB_MS_NS;
+	uint64_t disconnect_ns = kwb_clock_now_ns() +
+	    (disconnect_ms ? disconnect_ms : CALL_TIMEOUT_MS) * KWB_MS_NS;
 
 	memset(call, 0, sizeof(*call));
 	call->exchange.ops = &call_ops;
 	call->exchange.context = call;
 	call->exchange.wants_new_conn = true;
-	if (kwb_exchange_start(&call->exchange, &stage->client, to, request) !=
-	    0) {
+	if (kwb_exchange_start(
+		&call->exchange, &testbed->client, to, request) != 0) {
 		call->done = true;
 		call->error = KWB_ERR_NET_CONNECT;
 	}
 	evbuffer_free(request);
-	while (!call->done && kwb_clock_now_ns() < leave_ns)
-		stage_wait(stage, 1);
+	while (!call->done && kwb_clock_now_ns() < disconnect_ns)
+		testbed_run_for(testbed, 1);
 	return call->done;
 }
 
+/* Returns the value of an option NAME=VALUE of the command. */
 static const char *
 option(const struct script *script, const char *name, const char *fallback)
 {
@@ -133,7 +187,7 @@
 }
 
 static unsigned
-number(const struct script *script, const char *name, unsigned fallback)
+option_number(const struct script *script, const char *name, unsigned fallback)
 {
 	const char *text = option(script, name, NULL);
 
@@ -157,12 +211,12 @@
 print_answer(struct script *script, struct call *call)
 {
 	struct kwb_message *answer = kwb_exchange_answer(&call->exchange);
-	const char *after = kwb_message_header(answer, "Retry-After");
+	const char *retry_after = kwb_message_header(answer, "Retry-After");
 	const char *receipt = kwb_message_header(answer, "Server-Stamp");
 	size_t i;
 
 	if (!call->done) {
-		kwb_buf_printf(&script->out, "left\n");
+		kwb_buf_printf(&script->out, "disconnected\n");
 		return;
 	}
 	if (call->error != 0) {
@@ -176,8 +230,8 @@
 		    strstr(receipt, option(script, "id", "c1")) != NULL
 			? "receipt"
 			: "WRONG RECEIPT");
-	if (after != NULL)
-		kwb_buf_printf(&script->out, " after %s s", after);
+	if (retry_after != NULL)
+		kwb_buf_printf(&script->out, " after %s s", retry_after);
 	for (i = 0; i < answer->body.used_bytes; i++)
 		if (answer->body.data[i] == '\n')
 			answer->body.data[i] = ' ';
@@ -190,7 +244,8 @@
 static void
 run_call(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	const char *body = option(script, "body", "");
 	const char *from = option(script, "from", NULL);
 	const char *deadline = option(script, "deadline", NULL);
@@ -207,19 +262,21 @@
 		kwb_buf_printf(&headers, "Prompt-Prefix: %s\r\n", prompt);
 	if (from != NULL)
 		kwb_buf_printf(&headers, "Last-Event-Id: %s\r\n", from);
-	call_run(&script->stage, &call, &node->settings.listen,
+	call_run(&script->testbed, &call, &node->settings.listen,
 	    request_new(script->words[2], script->words[3], headers.data, body,
 		strlen(body)),
-	    number(script, "leave", 0));
+	    option_number(script, "disconnect", 0));
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 	kwb_buf_finish(&headers);
 }
 
-/* Of the process: the most since the last reset, which begins at the present.
+/*
+ * Returns the most memory, in bytes, that was resident since the last reset;
+ * reset starts anew from what is resident now.
  */
 static uint64_t
-most_resident_bytes(bool reset)
+peak_resident_bytes(bool reset)
 {
 	char line[256];
 	unsigned long long kilobytes = 0;
@@ -239,75 +296,80 @@
 	return kilobytes * 1024;
 }
 
-#define CROWD_MAX 200
+#define CONCURRENT_CALLS_MAX 200
 
-/* Many calls at once: how they end, and what the process grows by meanwhile. */
+/* Prints how many concurrent calls end, and whether memory stays in bounds. */
 static void
-run_crowd(struct script *script)
+run_concurrent_calls(struct script *script)
 {
-	static struct call calls[CROWD_MAX];
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
-	unsigned count = number(script, "calls", 100);
+	static struct call calls[CONCURRENT_CALLS_MAX];
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
+	unsigned count = option_number(script, "calls", 100);
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
-	uint64_t before = most_resident_bytes(true);
-	uint64_t most;
-	unsigned whole = 0;
+	uint64_t start_bytes = peak_resident_bytes(true);
+	uint64_t peak_bytes;
+	unsigned succeeded = 0;
 	unsigned done = 0;
 	char headers[128];
 	unsigned i;
 
 	memset(calls, 0, sizeof(calls));
-	for (i = 0; i < count && i < CROWD_MAX; i++) {
+	for (i = 0; i < count && i < CONCURRENT_CALLS_MAX; i++) {
 		struct evbuffer *request;
 
 		snprintf(headers, sizeof(headers),
-		    "Host: " HOST "\r\nAttempt-Id: crowd%u\r\n", i);
+		    "Host: " HOST "\r\nAttempt-Id: call%u\r\n", i);
 		request =
 		    request_new("POST", script->words[2], headers, "x", 1);
 		calls[i].exchange.ops = &call_ops;
 		calls[i].exchange.context = &calls[i];
 		calls[i].exchange.wants_new_conn = true;
 		if (kwb_exchange_start(&calls[i].exchange,
-			&script->stage.client, &node->settings.listen,
+			&script->testbed.client, &node->settings.listen,
 			request) != 0)
 			calls[i].done = true;
 		evbuffer_free(request);
 	}
 	while (done < count && kwb_clock_now_ns() < end_ns) {
-		stage_wait(&script->stage, 2);
+		testbed_run_for(&script->testbed, 2);
 		for (i = 0, done = 0; i < count; i++)
 			done += calls[i].done;
 	}
-	most = most_resident_bytes(false);
+	peak_bytes = peak_resident_bytes(false);
 	for (i = 0; i < count; i++) {
-		whole += calls[i].done &&
+		succeeded += calls[i].done &&
 		    kwb_exchange_answer(&calls[i].exchange)->status == 200;
 		kwb_exchange_finish(&calls[i].exchange);
 	}
 	kwb_buf_printf(&script->out, "%u ended, %u with 200, %s %u MB\n", done,
-	    whole,
-	    most - before < number(script, "mb", 64) * 1048576ull
+	    succeeded,
+	    peak_bytes - start_bytes <
+		    option_number(script, "mb", 64) * 1048576ull
 		? "grew by less than"
 		: "grew by more than",
-	    number(script, "mb", 64));
+	    option_number(script, "mb", 64));
 }
 
 static void
-simple_call(struct script *script, struct call *call, const char *node,
-    const char *method, const char *target, const char *more, const char *body)
+call_node(struct script *script, struct call *call, const char *node,
+    const char *method, const char *target, const char *extra_headers,
+    const char *body)
 {
-	struct stage_node *at = stage_node(&script->stage, node);
+	struct testbed_node *target_node = testbed_node(&script->testbed, node);
 	char headers[256];
 
-	snprintf(headers, sizeof(headers), "Host: " HOST "\r\n%s", more);
-	call_run(&script->stage, call, &at->settings.listen,
+	snprintf(
+	    headers, sizeof(headers), "Host: " HOST "\r\n%s", extra_headers);
+	call_run(&script->testbed, call, &target_node->settings.listen,
 	    request_new(method, target, headers, body, strlen(body)), 0);
 }
 
 static void
 run_raw(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	struct evbuffer *out = evbuffer_new();
 	struct call call;
 	const char *at;
@@ -319,7 +381,7 @@
 		} else {
 			evbuffer_add(out, *at == '_' ? " " : at, 1);
 		}
-	call_run(&script->stage, &call, &node->settings.listen, out, 6000);
+	call_run(&script->testbed, &call, &node->settings.listen, out, 6000);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -327,11 +389,12 @@
 /* ---- Batches
  * --------------------------------------------------------------------- */
 
+/* Returns a batch document as text, to be freed. */
 static char *
 batch_body(struct script *script, const char *batch)
 {
-	unsigned items = number(script, "items", 4);
-	unsigned size = number(script, "size", 2);
+	unsigned items = option_number(script, "items", 4);
+	unsigned size = option_number(script, "size", 2);
 	json_t *requests = json_array();
 	struct kwb_buf body;
 	char text[64];
@@ -348,7 +411,7 @@
 		snprintf(score, sizeof(score), "%s-s%u", batch, i);
 		snprintf(group, sizeof(group), "g%u", i / size);
 		snprintf(text, sizeof(text), "events=%u",
-		    number(script, "events", 4));
+		    option_number(script, "events", 4));
 		kwb_base64_encode(&body, text, strlen(text));
 		json_array_append_new(requests,
 		    json_pack("{s:s, s:s, s:{s:s}, s:s, s:i, s:s, s:{s:s, s:s, "
@@ -359,10 +422,11 @@
 			"/score/x", "body", "c2NvcmU="));
 		kwb_buf_finish(&body);
 	}
-	document = json_pack("{s:i, s:s, s:i, s:i, s:o}", "step", 0, "model",
-	    "m", "min-version", number(script, "min", 1), "target-groups",
-	    number(script, "target", (items + size - 1) / size), "requests",
-	    requests);
+	document =
+	    json_pack("{s:i, s:s, s:i, s:i, s:o}", "step", 0, "model", "m",
+		"min-version", option_number(script, "min", 1), "target-groups",
+		option_number(script, "target", (items + size - 1) / size),
+		"requests", requests);
 	out = json_dumps(document, JSON_COMPACT);
 	json_decref(document);
 	return out;
@@ -373,12 +437,13 @@
 {
 	const char *batch = script->words[2];
 	char *body = batch_body(script, batch);
-	char more[96];
+	char extra_headers[96];
 	struct call call;
 
-	snprintf(more, sizeof(more), "Attempt-Id: %s\r\n", batch);
-	simple_call(
-	    script, &call, script->words[1], "POST", "/gen/x", more, body);
+	snprintf(
+	    extra_headers, sizeof(extra_headers), "Attempt-Id: %s\r\n", batch);
+	call_node(script, &call, script->words[1], "POST", "/gen/x",
+	    extra_headers, body);
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 	free(body);
@@ -390,6 +455,7 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
+/* Appends a line for each result to lines; returns the new count. */
 static unsigned
 read_results(const json_t *document, char **lines, unsigned count)
 {
@@ -417,7 +483,7 @@
 	return count;
 }
 
-/* Reads until all results are there, as a trainer does. */
+/* Reads until all results are listed, as a trainer does. */
 static void
 run_results(struct script *script)
 {
@@ -435,7 +501,7 @@
 	while (next < total && kwb_clock_now_ns() < end_ns) {
 		snprintf(target, sizeof(target), "/lots/%s?after=%u",
 		    script->words[2], next);
-		simple_call(script, &call, script->words[1], "GET", target,
+		call_node(script, &call, script->words[1], "GET", target,
 		    "Wait-Ms: 500\r\n", "");
 		status = kwb_exchange_answer(&call.exchange)->status;
 		document = json_loads(
@@ -453,7 +519,7 @@
 		if (status == 404)
 			break;
 		if (status != 200)
-			stage_wait(&script->stage, 100);
+			testbed_run_for(&script->testbed, 100);
 	}
 	kwb_buf_printf(
 	    &script->out, "%u, %u of %u listed\n", status, next, total);
@@ -471,7 +537,7 @@
 	struct call call;
 
 	snprintf(target, sizeof(target), "/lots/%s", script->words[2]);
-	simple_call(script, &call, script->words[1], "DELETE", target, "", "");
+	call_node(script, &call, script->words[1], "DELETE", target, "", "");
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -484,7 +550,7 @@
 
 	snprintf(target, sizeof(target), "/items/%s?id=%s", script->words[2],
 	    script->words[3]);
-	simple_call(script, &call, script->words[1], "GET", target, "", "");
+	call_node(script, &call, script->words[1], "GET", target, "", "");
 	print_answer(script, &call);
 	kwb_exchange_finish(&call.exchange);
 }
@@ -495,17 +561,17 @@
 static void
 run_server(struct script *script)
 {
-	struct stage_server *server =
-	    stage_server(&script->stage, script->words[1]);
+	struct testbed_server *server =
+	    testbed_server(&script->testbed, script->words[1]);
 
 	kwb_text_copy(server->service, sizeof(server->service),
 	    option(script, "service", "shop"));
-	server->engine = number(script, "engine", 0) != 0;
-	server->slots = number(script, "slots", 4);
-	server->pace_ms = number(script, "pace", 10);
-	server->load_ms = number(script, "load", 900);
-	server->version = number(script, "version", 1);
-	server_open(server, &script->stage);
+	server->is_model_server = option_number(script, "engine", 0) != 0;
+	server->slots = option_number(script, "slots", 4);
+	server->pace_ms = option_number(script, "pace", 10);
+	server->load_duration_ms = option_number(script, "load", 900);
+	server->version = option_number(script, "version", 1);
+	testbed_server_open(server, &script->testbed);
 }
 
 static void
@@ -517,13 +583,13 @@
 	    "name", script->words[1], "hostname", option(script, "host", HOST),
 	    "route-kind", script->words[2], "path-prefix", script->words[3],
 	    "service", script->words[4], "max-attempts",
-	    number(script, "attempts", 2), "timeout-ms",
-	    number(script, "timeout", 1000), "target-latency-ms",
-	    number(script, "target", 150), "item-ttl-s",
-	    number(script, "ttl", 40), "run-deadline-ms", 7500,
-	    "single-version", number(script, "single", 0), "resumable",
-	    number(script, "resumable", 0), "sticky",
-	    number(script, "sticky", 0));
+	    option_number(script, "attempts", 2), "timeout-ms",
+	    option_number(script, "timeout", 1000), "target-latency-ms",
+	    option_number(script, "target", 150), "item-ttl-s",
+	    option_number(script, "ttl", 40), "run-deadline-ms", 7500,
+	    "single-version", option_number(script, "single", 0), "resumable",
+	    option_number(script, "resumable", 0), "sticky",
+	    option_number(script, "sticky", 0));
 	const char *colon = split ? strchr(split, ':') : NULL;
 
 	if (colon != NULL)
@@ -554,83 +620,87 @@
 	    "version", atoi(script->words[1]), "route-table", script->routes,
 	    "services", "name", "shop", "name", "engine", "engine", "slots", 4,
 	    "models", "name", "m", "limits", "max-header-bytes", 4096,
-	    "max-body-bytes", number(script, "body", 100000),
+	    "max-body-bytes", option_number(script, "body", 100000),
 	    "header-timeout-ms", 500, "idle-timeout-ms", 15000);
 	char *text = json_dumps(document, JSON_COMPACT);
 
-	stage_store_put(&script->stage.store, "op", "config", text);
+	testbed_store_put(&script->testbed.store, "op", "config", text);
 	free(text);
 	json_decref(document);
-	stage_wait(&script->stage, 60);
+	testbed_run_for(&script->testbed, 60);
 }
 
 static void
-run_name(struct script *script)
+run_set_version(struct script *script)
 {
 	char text[64];
 
 	snprintf(text, sizeof(text), "{\"model\":\"m\",\"version\":%s}",
 	    script->words[1]);
-	stage_store_put(&script->stage.store, "op", "version/m", text);
+	testbed_store_put(&script->testbed.store, "op", "version/m", text);
 }
 
 static void
 run_node(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	uint64_t end_ns = kwb_clock_now_ns() + 1000 * KWB_MS_NS;
 
-	node->alone = number(script, "peers", 1) == 0;
-	stage_node_start(node);
-	node->settings.batch_keep_ms = number(script, "keep", 120000);
-	node->settings.row_max_bytes = number(script, "row", 65536);
+	node->has_no_peers = option_number(script, "peers", 1) == 0;
+	testbed_node_start(node);
+	node->settings.batch_keep_ms = option_number(script, "keep", 120000);
+	node->settings.row_max_bytes = option_number(script, "row", 65536);
 	while (node->node.config == NULL && kwb_clock_now_ns() < end_ns)
-		stage_wait(&script->stage, 5);
-	stage_wait(&script->stage, 40);
+		testbed_run_for(&script->testbed, 5);
+	testbed_run_for(&script->testbed, 40);
 }
 
 static void
 run_stop(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	uint64_t begin_ns = kwb_clock_now_ns();
 
 	kwb_node_stop(&node->node);
-	if (number(script, "wait", 1) == 0)
+	if (option_number(script, "wait", 1) == 0)
 		return;
-	while (
-	    node->running && kwb_clock_now_ns() - begin_ns < 9000 * KWB_MS_NS)
-		stage_wait(&script->stage, 10);
-	kwb_buf_printf(
-	    &script->out, "%s\n", node->running ? "still running" : "stopped");
-	stage_node_kill(node);
+	while (node->is_running &&
+	    kwb_clock_now_ns() - begin_ns < 9000 * KWB_MS_NS)
+		testbed_run_for(&script->testbed, 10);
+	kwb_buf_printf(&script->out, "%s\n",
+	    node->is_running ? "still running" : "stopped");
+	testbed_node_kill(node);
 }
 
 static void
 run_ready(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	struct call call;
 
-	call_run(&script->stage, &call, &node->settings.ready,
+	call_run(&script->testbed, &call, &node->settings.ready,
 	    request_new("GET", "/readyz", "Host: x\r\n", "", 0), 0);
 	kwb_buf_printf(
 	    &script->out, "%u\n", kwb_exchange_answer(&call.exchange)->status);
 	kwb_exchange_finish(&call.exchange);
 }
 
-/* The kinds of all metrics; of histograms, whether anything was counted. */
+/* Prints types of metrics, and whether a histogram has counted anything. */
 static void
 run_metrics(struct script *script)
 {
-	struct stage_node *node = stage_node(&script->stage, script->words[1]);
+	struct testbed_node *node =
+	    testbed_node(&script->testbed, script->words[1]);
 	char name[96];
 	struct call call;
 	const char *text;
 	const char *at;
 	int length;
 
-	call_run(&script->stage, &call, &node->settings.metrics,
+	call_run(&script->testbed, &call, &node->settings.metrics,
 	    request_new("GET", "/metrics", "Host: x\r\n", "", 0), 0);
 	text = kwb_buf_text(&kwb_exchange_answer(&call.exchange)->body);
 	for (at = strstr(text, "# TYPE "); at != NULL;
@@ -653,75 +723,77 @@
 static void
 run_ran(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		count += strcmp(stage->runs[i].id, script->words[1]) == 0;
+	for (i = 0; i < testbed->runs_count; i++)
+		count += strcmp(testbed->runs[i].id, script->words[1]) == 0;
 	kwb_buf_printf(&script->out, "%u", count);
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0 &&
-		    stage->runs[i].from > 0)
-			kwb_buf_printf(
-			    &script->out, " from %u", stage->runs[i].from);
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0 &&
+		    testbed->runs[i].first_event > 0)
+			kwb_buf_printf(&script->out, " from %u",
+			    testbed->runs[i].first_event);
 	kwb_buf_printf(&script->out, "\n");
 }
 
-/* The parts of a prompt that the upstream was told of. */
+/* Prints the prompt's parts as the upstream received them. */
 static void
 run_prompt(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
 			kwb_buf_printf(
-			    &script->out, "%s\n", stage->runs[i].prompt);
+			    &script->out, "%s\n", testbed->runs[i].prompt);
 }
 
-/* Whether the last run of an item began behind its first event. */
+/* Prints whether the last run of an item began after its first event. */
 static void
 run_resumed(struct script *script)
 {
-	const struct stage *stage = &script->stage;
-	unsigned from = 0;
+	const struct testbed *testbed = &script->testbed;
+	unsigned first_event = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
-			from = stage->runs[i].from;
-	kwb_buf_printf(
-	    &script->out, from > 1 ? "resumed\n" : "from the first event\n");
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
+			first_event = testbed->runs[i].first_event;
+	kwb_buf_printf(&script->out,
+	    first_event > 1 ? "resumed\n" : "from the first event\n");
 }
 
-/* Events of an item that a later run made once more: none beyond the most. */
+/* Prints whether later runs sent more events again than are allowed. */
 static void
-run_again(struct script *script)
+run_repeated_events(struct script *script)
 {
-	const struct stage *stage = &script->stage;
-	unsigned most = (unsigned)atoi(script->words[2]);
-	unsigned sent = 0;
-	unsigned again = 0;
+	const struct testbed *testbed = &script->testbed;
+	unsigned allowed = (unsigned)atoi(script->words[2]);
+	unsigned last_sent = 0;
+	unsigned repeated = 0;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++) {
-		if (strcmp(stage->runs[i].id, script->words[1]) != 0)
+	for (i = 0; i < testbed->runs_count; i++) {
+		if (strcmp(testbed->runs[i].id, script->words[1]) != 0)
 			continue;
-		if (stage->runs[i].from <= sent)
-			again += sent + 1 - stage->runs[i].from;
-		sent = stage->runs[i].sent;
+		if (testbed->runs[i].first_event <= last_sent)
+			repeated +=
+			    last_sent + 1 - testbed->runs[i].first_event;
+		last_sent = testbed->runs[i].last_event;
 	}
-	if (again <= most)
-		kwb_buf_printf(&script->out, "at most %u again\n", most);
+	if (repeated <= allowed)
+		kwb_buf_printf(&script->out, "at most %u again\n", allowed);
 	else
-		kwb_buf_printf(&script->out, "%u again\n", again);
+		kwb_buf_printf(&script->out, "%u again\n", repeated);
 }
 
-/* The value of a field of a log line. */
+/* Copies the value of a log line's field, or ""; name includes " " and "=". */
 static void
-log_field(const char *line, const char *name, char *value, size_t room_bytes)
+log_field(
+    const char *line, const char *name, char *value, size_t value_capacity)
 {
 	const char *at = strstr(line, name);
 	size_t length;
@@ -731,13 +803,13 @@
 		return;
 	at += strlen(name);
 	length = strcspn(at, " \n");
-	if (length >= room_bytes)
-		length = room_bytes - 1;
+	if (length >= value_capacity)
+		length = value_capacity - 1;
 	memcpy(value, at, length);
 	value[length] = '\0';
 }
 
-/* What the logs say of an id, as "grep ID" shows it: module, event, why. */
+/* Prints module, event and reason of each log line with the id as a value. */
 static void
 run_explain(struct script *script)
 {
@@ -766,23 +838,23 @@
 		fclose(file);
 }
 
-/* With which priority each run of a request came. */
+/* Prints the priority that each run of a request had. */
 static void
 run_priority(struct script *script)
 {
-	const struct stage *stage = &script->stage;
+	const struct testbed *testbed = &script->testbed;
 	unsigned i;
 
-	for (i = 0; i < stage->runs_count; i++)
-		if (strcmp(stage->runs[i].id, script->words[1]) == 0)
+	for (i = 0; i < testbed->runs_count; i++)
+		if (strcmp(testbed->runs[i].id, script->words[1]) == 0)
 			kwb_buf_printf(&script->out, "from %u priority %s\n",
-			    stage->runs[i].from,
-			    stage->runs[i].priority[0] != '\0'
-				? stage->runs[i].priority
+			    testbed->runs[i].first_event,
+			    testbed->runs[i].priority[0] != '\0'
+				? testbed->runs[i].priority
 				: "none");
 }
 
-/* How often nodes have gone to the store through a peer in this script. */
+/* Prints how often nodes began to reach the store through a peer. */
 static void
 run_detours(struct script *script)
 {
@@ -791,48 +863,49 @@
 }
 
 static void
-run_until_some(struct script *script)
+run_wait_version(struct script *script)
 {
-	struct stage *stage = &script->stage;
+	struct testbed *testbed = &script->testbed;
 	uint64_t wanted = strtoull(script->words[1], NULL, 10);
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
 	uint64_t newest = 0;
 	unsigned i;
 
 	while (newest < wanted && kwb_clock_now_ns() < end_ns) {
-		stage_wait(stage, 10);
-		for (i = 0; i < stage->servers_count; i++)
-			if (stage->servers[i].version > newest)
-				newest = stage->servers[i].version;
+		testbed_run_for(testbed, 10);
+		for (i = 0; i < testbed->servers_count; i++)
+			if (testbed->servers[i].version > newest)
+				newest = testbed->servers[i].version;
 	}
 	kwb_buf_printf(
 	    &script->out, "version %llu\n", (unsigned long long)newest);
 }
 
-/* Over all upstreams: orders so far, or requests that run. */
+/* Prints, over all servers, the orders accepted or the streams open now. */
 static void
-run_sum(struct script *script)
+run_totals(struct script *script)
 {
 	bool orders = strcmp(script->words[0], "orders") == 0;
-	const struct stage_server *server;
+	const struct testbed_server *server;
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < script->stage.servers_count; i++) {
-		server = &script->stage.servers[i];
-		count += orders ? server->orders : server->running;
+	for (i = 0; i < script->testbed.servers_count; i++) {
+		server = &script->testbed.servers[i];
+		count +=
+		    orders ? server->orders_accepted : server->streams_open;
 	}
 	kwb_buf_printf(&script->out, "%u\n", count);
 }
 
 /*
- * Runs kwb-nodectl with the command's words against the stage's store; "LOG"
- * stands for the log file. Returns what it printed.
+ * Runs kwb-nodectl with the command's words against the fake store; "LOG"
+ * stands for the log file. Returns its output; status is that of waitpid().
  */
 static FILE *
-ctl_run(struct script *script, int *status)
+run_nodectl(struct script *script, int *status)
 {
-	const struct kwb_address *store = &script->stage.store.port.address;
+	const struct kwb_address *store = &script->testbed.store.port.address;
 	const char *build = getenv("KWB_BUILD");
 	char output[] = "/tmp/kwb-ctl-XXXXXX";
 	char *arguments[WORDS_MAX + 4];
@@ -862,7 +935,7 @@
 		_exit(127);
 	}
 	while (waitpid(pid, status, WNOHANG) == 0)
-		stage_wait(&script->stage, 2);
+		testbed_run_for(&script->testbed, 2);
 	close(fd);
 	file = fopen(output, "r");
 	unlink(output);
@@ -875,11 +948,11 @@
 	char line[512];
 	char *revision;
 	int status = 0;
-	FILE *file = ctl_run(script, &status);
+	FILE *file = run_nodectl(script, &status);
 
 	while (file != NULL && fgets(line, sizeof(line), file) != NULL) {
 		revision = strstr(line, REVISION_FIELD);
-		/* A lease is renewed as time passes. */
+		/* Renewals of the lease raise the revision. */
 		if (revision != NULL &&
 		    strtoull(revision + strlen(REVISION_FIELD), NULL, 10) > 0)
 			strcpy(revision + strlen(REVISION_FIELD), "N\n");
@@ -890,7 +963,7 @@
 	kwb_buf_printf(&script->out, "exit %d\n", WEXITSTATUS(status));
 }
 
-/* Spans of a trace that take half a second or more, in whole seconds. */
+/* Prints spans of half a second or more, in whole seconds. */
 static void
 run_trace(struct script *script)
 {
@@ -903,7 +976,7 @@
 	double length_s;
 	unsigned events;
 	int status = 0;
-	FILE *file = ctl_run(script, &status);
+	FILE *file = run_nodectl(script, &status);
 
 	while (file != NULL && fgets(line, sizeof(line), file) != NULL)
 		if (sscanf(line, "%lf %lf %31s %63s %63s %u %63s", &from_s,
@@ -921,12 +994,13 @@
 static void
 run_objects(struct script *script)
 {
-	kwb_buf_printf(&script->out, "%u\n", script->stage.store.objects_count);
+	kwb_buf_printf(
+	    &script->out, "%u\n", script->testbed.store.objects_count);
 }
 
-/* Reads all results and prints only how many, and how long they are. */
+/* Reads all results; prints their number and the length of their lines. */
 static void
-run_lengths(struct script *script)
+run_results_size(struct script *script)
 {
 	size_t before = script->out.used_bytes;
 	size_t bytes;
@@ -939,7 +1013,7 @@
 }
 
 static unsigned
-count_rows(const struct stage_store *store, const char *table)
+count_rows(const struct testbed_store *store, const char *table)
 {
 	unsigned count = 0;
 	unsigned i;
@@ -954,86 +1028,88 @@
 run_rows(struct script *script)
 {
 	kwb_buf_printf(&script->out, "%u\n",
-	    count_rows(&script->stage.store, script->words[1]));
+	    count_rows(&script->testbed.store, script->words[1]));
 }
 
 static void
-run_until_rows(struct script *script)
+run_wait_rows(struct script *script)
 {
 	uint64_t end_ns = kwb_clock_now_ns() + CALL_TIMEOUT_MS * KWB_MS_NS;
 	unsigned wanted = (unsigned)strtoul(script->words[2], NULL, 10);
 
-	while (count_rows(&script->stage.store, script->words[1]) != wanted &&
+	while (count_rows(&script->testbed.store, script->words[1]) != wanted &&
 	    kwb_clock_now_ns() < end_ns)
-		stage_wait(&script->stage, 10);
+		testbed_run_for(&script->testbed, 10);
 	run_rows(script);
 }
 
 static void
 run_store(struct script *script)
 {
-	struct stage_store *store = &script->stage.store;
+	struct testbed_store *store = &script->testbed.store;
 
 	store->fault =
-	    (enum store_fault)index_of(store_faults, script->words[1]);
-	store->fault_left =
+	    (enum store_fault)name_index(store_fault_names, script->words[1]);
+	store->fault_remaining =
 	    script->words_count > 2 ? (unsigned)atoi(script->words[2]) : 0;
 }
 
 static void
 run_silent_part(struct script *script)
 {
-	kwb_text_copy(script->stage.store.silent_part,
-	    sizeof(script->stage.store.silent_part),
+	kwb_text_copy(script->testbed.store.silent_part,
+	    sizeof(script->testbed.store.silent_part),
 	    script->words_count > 1 ? script->words[1] : "");
 }
 
-/* What a node's path to the store does; other nodes' paths stay. */
+/* Sets the mode of the proxy between one node and the store. */
 static void
-run_path(struct script *script)
+run_proxy(struct script *script)
 {
-	proxy_set(&stage_node(&script->stage, script->words[1])->path,
-	    (enum proxy_mode)index_of(path_modes, script->words[2]));
+	proxy_set_mode(
+	    &testbed_node(&script->testbed, script->words[1])->store_proxy,
+	    (enum proxy_mode)name_index(proxy_mode_names, script->words[2]));
 }
 
 static void
 run_fault(struct script *script)
 {
-	struct stage_server *server =
-	    stage_server(&script->stage, script->words[1]);
+	struct testbed_server *server =
+	    testbed_server(&script->testbed, script->words[1]);
 
 	server->fault =
-	    (enum server_fault)index_of(server_faults, script->words[2]);
-	server->fault_left =
+	    (enum server_fault)name_index(server_fault_names, script->words[2]);
+	server->fault_remaining =
 	    script->words_count > 3 ? (unsigned)atoi(script->words[3]) : 0;
 }
 
-/* What is running slows down, too. */
+/* Affects streams that are open, too. */
 static void
 run_pace(struct script *script)
 {
-	stage_server(&script->stage, script->words[1])->pace_ms =
+	testbed_server(&script->testbed, script->words[1])->pace_ms =
 	    (unsigned)atoi(script->words[2]);
 }
 
 static void
 run_server_change(struct script *script)
 {
-	struct stage *stage = &script->stage;
-	struct stage_server *server = stage_server(stage, script->words[1]);
+	struct testbed *testbed = &script->testbed;
+	struct testbed_server *server =
+	    testbed_server(testbed, script->words[1]);
 
 	if (strcmp(script->words[0], "drain") == 0) {
-		server->draining = true;
-		server_beat(server);
-	} else if (strcmp(script->words[0], "beat") == 0) {
-		server_beat(server);
+		server->is_draining = true;
+		testbed_server_publish(server);
+	} else if (strcmp(script->words[0], "heartbeat") == 0) {
+		testbed_server_publish(server);
 	} else if (strcmp(script->words[0], "remove") == 0) {
-		stage_store_remove(&stage->store, "servers", server->name);
+		testbed_store_remove(&testbed->store, "servers", server->name);
 	} else {
-		stage_store_put(
-		    &stage->store, "servers", server->name, "{\"slots\":");
+		testbed_store_put(
+		    &testbed->store, "servers", server->name, "{\"slots\":");
 	}
-	stage_wait(stage, 40);
+	testbed_run_for(testbed, 40);
 }
 
 static void
@@ -1044,22 +1120,24 @@
 		void (*run)(struct script *script);
 	} commands[] = {{"server", run_server}, {"route", run_route},
 	    {"unroute", run_unroute}, {"config", run_config},
-	    {"name", run_name}, {"node", run_node}, {"stop", run_stop},
-	    {"ready", run_ready}, {"call", run_call}, {"raw", run_raw},
-	    {"submit", run_submit}, {"results", run_results}, {"end", run_end},
-	    {"item", run_item}, {"store", run_store}, {"fault", run_fault},
-	    {"drain", run_server_change}, {"remove", run_server_change},
-	    {"garble", run_server_change}, {"beat", run_server_change},
-	    {"metrics", run_metrics}, {"ran", run_ran}, {"prompt", run_prompt},
-	    {"until-some", run_until_some}, {"orders", run_sum},
+	    {"set-version", run_set_version}, {"node", run_node},
+	    {"stop", run_stop}, {"ready", run_ready}, {"call", run_call},
+	    {"raw", run_raw}, {"submit", run_submit}, {"results", run_results},
+	    {"end", run_end}, {"item", run_item}, {"store", run_store},
+	    {"fault", run_fault}, {"drain", run_server_change},
+	    {"remove", run_server_change}, {"corrupt", run_server_change},
+	    {"heartbeat", run_server_change}, {"metrics", run_metrics},
+	    {"ran", run_ran}, {"prompt", run_prompt},
+	    {"wait-version", run_wait_version}, {"orders", run_totals},
 	    {"rows", run_rows}, {"silent-part", run_silent_part},
-	    {"until-rows", run_until_rows}, {"objects", run_objects},
-	    {"lengths", run_lengths}, {"running", run_sum}, {"ctl", run_ctl},
-	    {"trace", run_trace}, {"resumed", run_resumed},
-	    {"again", run_again}, {"explain", run_explain}, {"path", run_path},
-	    {"pace", run_pace}, {"crowd", run_crowd},
+	    {"wait-rows", run_wait_rows}, {"objects", run_objects},
+	    {"results-size", run_results_size}, {"running", run_totals},
+	    {"ctl", run_ctl}, {"trace", run_trace}, {"resumed", run_resumed},
+	    {"repeated-events", run_repeated_events}, {"explain", run_explain},
+	    {"proxy", run_proxy}, {"pace", run_pace},
+	    {"concurrent-calls", run_concurrent_calls},
 	    {"priority", run_priority}, {"detours", run_detours}};
-	struct stage *stage = &script->stage;
+	struct testbed *testbed = &script->testbed;
 	size_t i;
 
 	for (i = 0; i < sizeof(commands) / sizeof(commands[0]); i++)
@@ -1068,11 +1146,11 @@
 			return;
 		}
 	if (strcmp(script->words[0], "wait") == 0)
-		stage_wait(stage, (unsigned)atoi(script->words[1]));
+		testbed_run_for(testbed, (unsigned)atoi(script->words[1]));
 	else if (strcmp(script->words[0], "kill") == 0)
-		stage_node_kill(stage_node(stage, script->words[1]));
-	else if (strcmp(script->words[0], "forget") == 0)
-		stage->store.history_from = stage->store.revision;
+		testbed_node_kill(testbed_node(testbed, script->words[1]));
+	else if (strcmp(script->words[0], "trim-history") == 0)
+		testbed->store.history_from_revision = testbed->store.revision;
 	else
 		kwb_buf_printf(&script->out, "no such command\n");
 }
@@ -1093,8 +1171,12 @@
 	}
 }
 
+/*
+ * Runs all commands of a script. actual gets the script with the output that
+ * they print, expected the script as it is. Returns whether the two are equal.
+ */
 static bool
-play_lines(struct script *script, FILE *file, struct kwb_buf *played,
+run_lines(struct script *script, FILE *file, struct kwb_buf *actual,
     struct kwb_buf *expected)
 {
 	char line[1024];
@@ -1103,52 +1185,56 @@
 	while (fgets(line, sizeof(line), file) != NULL) {
 		kwb_buf_printf(expected, "%s", line);
 		if (line[0] == '#' || line[0] == '\n') {
-			kwb_buf_printf(played, "%s", line);
+			kwb_buf_printf(actual, "%s", line);
 			continue;
 		}
 		if (strncmp(line, "$ ", 2) != 0)
 			continue; /* expected output of the command above */
-		kwb_buf_printf(played, "%s", line);
+		kwb_buf_printf(actual, "%s", line);
 		line[strcspn(line, "\n")] = '\0';
 		kwb_text_copy(command, sizeof(command), line + 2);
 		split_words(script, command);
 		script->out.used_bytes = 0;
 		run_command(script);
 		kwb_buf_add(
-		    played, kwb_buf_text(&script->out), script->out.used_bytes);
+		    actual, kwb_buf_text(&script->out), script->out.used_bytes);
 	}
-	return strcmp(kwb_buf_text(played), kwb_buf_text(expected)) == 0;
+	return strcmp(kwb_buf_text(actual), kwb_buf_text(expected)) == 0;
 }
 
 static void
-show_difference(const char *played, const char *expected)
+print_first_difference(const char *actual, const char *expected)
 {
 	unsigned line = 1;
 
-	while (*played != '\0' || *expected != '\0') {
-		size_t left = strcspn(played, "\n");
-		size_t right = strcspn(expected, "\n");
+	while (*actual != '\0' || *expected != '\0') {
+		size_t actual_length = strcspn(actual, "\n");
+		size_t expected_length = strcspn(expected, "\n");
 
-		if (left != right || strncmp(played, expected, left) != 0) {
+		if (actual_length != expected_length ||
+		    strncmp(actual, expected, actual_length) != 0) {
 			printf("  line %u\n  expected: %.*s\n"
 			       "  printed:  %.*s\n",
-			    line, (int)right, expected, (int)left, played);
+			    line, (int)expected_length, expected,
+			    (int)actual_length, actual);
 			return;
 		}
 		line++;
-		played += left + (played[left] != '\0');
-		expected += right + (expected[right] != '\0');
+		actual += actual_length + (actual[actual_length] != '\0');
+		expected +=
+		    expected_length + (expected[expected_length] != '\0');
 	}
 }
 
+/* Runs a script on a new testbed and returns whether it passed. */
 static bool
-script_play(const char *path, bool write)
+run_script_file(const char *path, bool update)
 {
 	static struct script script;
-	struct kwb_buf played;
+	struct kwb_buf actual;
 	struct kwb_buf expected;
 	FILE *file = fopen(path, "r");
-	bool same;
+	bool matches;
 
 	if (file == NULL) {
 		perror(path);
@@ -1158,31 +1244,32 @@
 	kwb_metric_set(KWB_METRIC_STORE_DETOURS, 0);
 	if (ftruncate(STDERR_FILENO, 0) == 0)
 		lseek(STDERR_FILENO, 0, SEEK_SET);
-	kwb_buf_init(&played);
+	kwb_buf_init(&actual);
 	kwb_buf_init(&expected);
-	stage_init(&script.stage);
+	testbed_init(&script.testbed);
 	script.routes = json_array();
-	same = play_lines(&script, file, &played, &expected);
+	matches = run_lines(&script, file, &actual, &expected);
 	fclose(file);
-	stage_finish(&script.stage);
+	testbed_finish(&script.testbed);
 	json_decref(script.routes);
-	if (!same && write) {
+	if (!matches && update) {
 		file = fopen(path, "w");
-		fputs(kwb_buf_text(&played), file);
+		fputs(kwb_buf_text(&actual), file);
 		fclose(file);
-	} else if (!same) {
+	} else if (!matches) {
 		printf("FAILED %s\n", path);
-		show_difference(kwb_buf_text(&played), kwb_buf_text(&expected));
+		print_first_difference(
+		    kwb_buf_text(&actual), kwb_buf_text(&expected));
 	}
 	kwb_buf_finish(&script.out);
-	kwb_buf_finish(&played);
+	kwb_buf_finish(&actual);
 	kwb_buf_finish(&expected);
-	return same;
+	return matches;
 }
 
-/* The logs go to a file of their own, which "explain" reads. */
+/* Writes the log to a file, which "explain" and "trace" read. */
 static bool
-log_to_file(void)
+redirect_log_to_file(void)
 {
 	int fd = mkstemp(log_path);
 
@@ -1192,33 +1279,33 @@
 int
 main(int argc, char **argv)
 {
-	bool write = argc > 1 && strcmp(argv[1], "--write") == 0;
+	bool update = argc > 1 && strcmp(argv[1], "--write") == 0;
 	const char *log_level = getenv("STAGE_LOG");
 	unsigned passed = 0;
 	unsigned failed = 0;
-	glob_t found;
-	int first = write ? 2 : 1;
+	glob_t paths;
+	int first = update ? 2 : 1;
 	size_t i;
 
 	signal(SIGPIPE, SIG_IGN);
-	kwb_log_init("stage", KWB_LOG_INFO);
-	if (log_level == NULL && !log_to_file())
+	kwb_log_init("testbed", KWB_LOG_INFO);
+	if (log_level == NULL && !redirect_log_to_file())
 		return 1;
-	memset(&found, 0, sizeof(found));
+	memset(&paths, 0, sizeof(paths));
 	if (argc > first) {
 		for (; first < argc; first++)
-			glob(argv[first], found.gl_pathc ? GLOB_APPEND : 0,
-			    NULL, &found);
+			glob(argv[first], paths.gl_pathc ? GLOB_APPEND : 0,
+			    NULL, &paths);
 	} else {
-		glob("tests/platform/scripts/*.txt", 0, NULL, &found);
+		glob("tests/platform/scripts/*.txt", 0, NULL, &paths);
 	}
-	for (i = 0; i < found.gl_pathc; i++) {
-		if (script_play(found.gl_pathv[i], write))
+	for (i = 0; i < paths.gl_pathc; i++) {
+		if (run_script_file(paths.gl_pathv[i], update))
 			passed++;
 		else
 			failed++;
 	}
-	globfree(&found);
+	globfree(&paths);
 	unlink(log_path);
 	printf("%u passed, %u failed\n", passed, failed);
 	return failed == 0 ? 0 : 1;
--- a/tests/platform/soak.c
+++ b/tests/platform/soak.c
@@ -91,7 +91,7 @@
 	unsigned seed;
 	unsigned random_state;
 	char directory[128];
-	struct stage stage;
+	struct testbed testbed;
 	struct node nodes[NODES];
 	struct proxy proxies[SERVERS];
 	struct client clients[CALLERS + TRAINERS];
@@ -265,7 +265,7 @@
 	    method, target, id, strlen(body), body);
 	client->is_busy = true;
 	client->exchange.deadline_ns = kwb_clock_now_ns() + 2500 * KWB_MS_NS;
-	if (kwb_exchange_start(&client->exchange, &soak->stage.client,
+	if (kwb_exchange_start(&client->exchange, &soak->testbed.client,
 		&client->node->front_address, out) != 0) {
 		client->is_busy = false;
 		client_schedule(client, 50);
@@ -554,42 +554,49 @@
 static void
 inject_network_fault(struct soak *soak)
 {
-	enum proxy_mode mode = (enum proxy_mode)random_below(soak, PROXY_MODES);
+	enum proxy_mode mode =
+	    (enum proxy_mode)random_below(soak, PROXY_MODE_COUNT);
 
 	if (random_below(soak, 2) == 0)
-		proxy_set(&soak->nodes[random_below(soak, NODES)].proxy, mode);
+		proxy_set_mode(
+		    &soak->nodes[random_below(soak, NODES)].proxy, mode);
 	else
-		proxy_set(&soak->proxies[random_below(soak, SERVERS)], mode);
+		proxy_set_mode(
+		    &soak->proxies[random_below(soak, SERVERS)], mode);
 }
 
 static void
 inject_server_fault(struct soak *soak)
 {
-	static const enum server_fault faults[] = {SERVER_REFUSE, SERVER_RESET,
-	    SERVER_SILENT, SERVER_OTHER_ID, SERVER_CUT, SERVER_EXTRA,
-	    SERVER_GARBAGE, SERVER_NO_RECEIPT, SERVER_MISDIRECTED};
-	struct stage_server *server =
-	    &soak->stage.servers[random_below(soak, SERVERS)];
+	static const enum server_fault faults[] = {SERVER_FAULT_REFUSE,
+	    SERVER_FAULT_RESET, SERVER_FAULT_SILENT, SERVER_FAULT_WRONG_ID,
+	    SERVER_FAULT_TRUNCATE, SERVER_FAULT_EXTRA_ANSWER,
+	    SERVER_FAULT_NOT_HTTP, SERVER_FAULT_NO_RECEIPT,
+	    SERVER_FAULT_MISDIRECTED};
+	struct testbed_server *server =
+	    &soak->testbed.servers[random_below(soak, SERVERS)];
 
 	server->fault = faults[random_below(soak, 9)];
 	/* Model servers get only these two faults or a cut stream. */
-	if (server->engine && server->fault != SERVER_REFUSE &&
-	    server->fault != SERVER_MISDIRECTED)
-		server->fault = SERVER_CUT;
-	server->fault_left = 1 + random_below(soak, 6);
+	if (server->is_model_server && server->fault != SERVER_FAULT_REFUSE &&
+	    server->fault != SERVER_FAULT_MISDIRECTED)
+		server->fault = SERVER_FAULT_TRUNCATE;
+	server->fault_remaining = 1 + random_below(soak, 6);
 }
 
 static void
 inject_store_fault(struct soak *soak)
 {
-	soak->stage.store.fault =
-	    (enum store_fault)random_below(soak, STORE_LATE + 1);
-	soak->stage.store.fault_left = soak->stage.store.fault >= STORE_LOST
+	soak->testbed.store.fault =
+	    (enum store_fault)random_below(soak, STORE_FAULT_DELAY_WRITE + 1);
+	soak->testbed.store.fault_remaining =
+	    soak->testbed.store.fault >= STORE_FAULT_LOSE_ANSWER
 	    ? 1 + random_below(soak, 4)
 	    : 0;
 	/* Feeds from earlier revisions then get status 410. */
 	if (random_below(soak, 4) == 0)
-		soak->stage.store.history_from = soak->stage.store.revision;
+		soak->testbed.store.history_from_revision =
+		    soak->testbed.store.revision;
 }
 
 static void
@@ -597,16 +604,16 @@
 {
 	unsigned i;
 
-	soak->stage.store.fault = STORE_OK;
+	soak->testbed.store.fault = STORE_FAULT_NONE;
 	for (i = 0; i < NODES; i++) {
-		proxy_set(&soak->nodes[i].proxy, PROXY_PASS);
+		proxy_set_mode(&soak->nodes[i].proxy, PROXY_FORWARD);
 		if (soak->nodes[i].is_paused)
 			node_signal(&soak->nodes[i], SIGCONT);
 		soak->nodes[i].is_paused = false;
 	}
 	for (i = 0; i < SERVERS; i++) {
-		proxy_set(&soak->proxies[i], PROXY_PASS);
-		soak->stage.servers[i].fault = SERVER_OK;
+		proxy_set_mode(&soak->proxies[i], PROXY_FORWARD);
+		soak->testbed.servers[i].fault = SERVER_FAULT_NONE;
 	}
 }
 
@@ -642,8 +649,8 @@
 	unsigned count = 0;
 	unsigned i;
 
-	for (i = 0; i < soak->stage.runs_count; i++)
-		count += strcmp(soak->stage.runs[i].id, id) == 0;
+	for (i = 0; i < soak->testbed.runs_count; i++)
+		count += strcmp(soak->testbed.runs[i].id, id) == 0;
 	return count;
 }
 
@@ -711,12 +718,12 @@
 static void
 check_weight_order(struct soak *soak, unsigned index)
 {
-	const struct stage_order *order = &soak->stage.orders[index];
-	const struct stage_order *earlier;
+	const struct recorded_order *order = &soak->testbed.orders[index];
+	const struct recorded_order *earlier;
 	unsigned i;
 
 	for (i = 0; i < index; i++) {
-		earlier = &soak->stage.orders[i];
+		earlier = &soak->testbed.orders[i];
 		if (earlier->fence == order->fence &&
 		    strcmp(earlier->holder, order->holder) != 0)
 			report_failure(soak,
@@ -732,11 +739,12 @@
 			    order->holder, (unsigned long long)order->fence,
 			    (unsigned long long)earlier->fence);
 		if (strcmp(earlier->holder, order->holder) != 0 &&
-		    order->at_ns - earlier->at_ns < LEASE_MS * KWB_MS_NS)
+		    order->received_ns - earlier->received_ns <
+			LEASE_MS * KWB_MS_NS)
 			report_failure(soak,
 			    "%s sent an order %llu ms after %s", order->holder,
-			    (unsigned long long)((order->at_ns -
-						     earlier->at_ns) /
+			    (unsigned long long)((order->received_ns -
+						     earlier->received_ns) /
 				KWB_MS_NS),
 			    earlier->holder);
 	}
@@ -747,7 +755,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < soak->stage.orders_count; i++)
+	for (i = 0; i < soak->testbed.orders_count; i++)
 		check_weight_order(soak, i);
 }
 
@@ -759,7 +767,7 @@
 
 	snprintf(text, sizeof(text), "{\"model\":\"m\",\"version\":%u}",
 	    ++soak->version);
-	stage_store_put(&soak->stage.store, "op", "version/m", text);
+	testbed_store_put(&soak->testbed.store, "op", "version/m", text);
 	soak->next_version_ns =
 	    kwb_clock_now_ns() + VERSION_PERIOD_MS * KWB_MS_NS;
 }
@@ -792,51 +800,51 @@
 	    "\"max-attempts\":1000,\"item-ttl-s\":60}],\"services\":[{\"name\":"
 	    "\"shop\"},{\"name\":\"engine\",\"engine\":{\"slots\":4,\"models\":"
 	    "[{\"name\":\"m\"}]}}],\"limits\":{}}";
-	struct stage_server *server;
+	struct testbed_server *server;
 	char name[16];
 	unsigned i;
 
-	stage_init(&soak->stage);
+	testbed_init(&soak->testbed);
 	for (i = 0; i < SERVERS; i++) {
 		snprintf(name, sizeof(name), "s%u", i);
-		server = stage_server(&soak->stage, name);
-		server->engine = i >= SERVICE_SERVERS;
+		server = testbed_server(&soak->testbed, name);
+		server->is_model_server = i >= SERVICE_SERVERS;
 		server->slots = 4;
 		server->pace_ms = 25;
-		server->load_ms = 300;
+		server->load_duration_ms = 300;
 		server->version = 1;
 		server->ignores_fences = !soak->is_fencing_enforced;
 		kwb_text_copy(server->service, sizeof(server->service),
-		    server->engine ? "engine" : "shop");
-		server_open(server, &soak->stage);
-		if (proxy_open(&soak->proxies[i], soak->stage.base,
+		    server->is_model_server ? "engine" : "shop");
+		testbed_server_open(server, &soak->testbed);
+		if (proxy_open(&soak->proxies[i], soak->testbed.base,
 			&server->port.address) != 0)
 			abort();
 		server->advertised = soak->proxies[i].address;
-		server_beat(server);
+		testbed_server_publish(server);
 	}
-	stage_store_put(&soak->stage.store, "op", "config", config);
+	testbed_store_put(&soak->testbed.store, "op", "config", config);
 	for (i = 0; i < NODES; i++) {
 		struct node *node = &soak->nodes[i];
 
 		snprintf(node->name, sizeof(node->name), "n%u", i);
-		stage_free_address(&node->front_address);
-		stage_free_address(&node->ready_address);
-		stage_free_address(&node->relay_address);
-		if (proxy_open(&node->proxy, soak->stage.base,
-			&soak->stage.store.port.address) != 0)
+		testbed_pick_address(&node->front_address);
+		testbed_pick_address(&node->ready_address);
+		testbed_pick_address(&node->relay_address);
+		if (proxy_open(&node->proxy, soak->testbed.base,
+			&soak->testbed.store.port.address) != 0)
 			abort();
 		node_write_settings(soak, node);
 		node_start(soak, node);
 	}
-	stage_wait(&soak->stage, 400);
+	testbed_run_for(&soak->testbed, 400);
 	for (i = 0; i < CALLERS + TRAINERS; i++) {
 		struct client *client = &soak->clients[i];
 
 		client->soak = soak;
 		client->is_trainer = i >= CALLERS;
 		client->timer =
-		    kwb_timer_new(soak->stage.base, client_on_timer, client);
+		    kwb_timer_new(soak->testbed.base, client_on_timer, client);
 		client_schedule(client, i * 10);
 	}
 }
@@ -861,7 +869,7 @@
 	for (i = 0; i < soak->batches_count; i++)
 		for (k = 0; k < BATCH_ITEMS; k++)
 			free(soak->batches[i].results[k]);
-	stage_finish(&soak->stage);
+	testbed_finish(&soak->testbed);
 	if (getenv("SOAK_KEEP") != NULL || soak->failures > 0) {
 		printf("seed %u: logs in %s\n", soak->seed, soak->directory);
 		return;
@@ -892,7 +900,7 @@
 	soak.phase_until_ns = kwb_clock_now_ns() + FAULTS_MS * KWB_MS_NS;
 	soak.next_fault_ns = kwb_clock_now_ns() + 500 * KWB_MS_NS;
 	while (kwb_clock_now_ns() < soak.phase_until_ns) {
-		stage_wait(&soak.stage, 5);
+		testbed_run_for(&soak.testbed, 5);
 		nodes_poll(&soak);
 		if (kwb_clock_now_ns() >= soak.next_fault_ns)
 			inject_fault(&soak);
@@ -903,7 +911,7 @@
 	soak.is_recovering = true;
 	soak.phase_until_ns = kwb_clock_now_ns() + RECOVERY_MS * KWB_MS_NS;
 	while (kwb_clock_now_ns() < soak.phase_until_ns && !is_settled(&soak)) {
-		stage_wait(&soak.stage, 5);
+		testbed_run_for(&soak.testbed, 5);
 		nodes_poll(&soak);
 	}
 	check_calls(&soak);
@@ -916,7 +924,7 @@
 	       "orders=%u\n",
 	    soak.failures == 0 ? "ok" : "FAILED", seed, soak.faults,
 	    soak.calls_count, soak.batches_count, ended_count,
-	    soak.stage.orders_count);
+	    soak.testbed.orders_count);
 	fflush(stdout);
 	soak_finish(&soak);
 	return soak.failures;
--- a/tests/platform/stage.h
+++ b/tests/platform/stage.h
@@ -1,6 +1,7 @@
 /*
- * A stage for tests of the node: nodes, a stand-in of the platform's store and
- * stand-ins of its servers, all on one event loop and on loopback.
+ * Testbed for tests of kwb-node: nodes, a fake of the platform's store and
+ * fakes of its upstream servers. All of them run in one process, on one event
+ * loop, and listen on loopback. Failures of setup abort the process.
  */
 #ifndef KWB_TESTS_STAGE_H
 #define KWB_TESTS_STAGE_H
@@ -12,58 +13,78 @@
 #include "kwb_node.h"
 #include "proxy.h"
 
-#define STAGE_ROWS_MAX 4096
-#define STAGE_SERVERS_MAX 16
-#define STAGE_NODES_MAX 4
-#define STAGE_RUNS_MAX 16384
-#define STAGE_ORDERS_MAX 2048
+#define TESTBED_ROWS_MAX 4096
+#define TESTBED_SERVERS_MAX 16
+#define TESTBED_NODES_MAX 4
+#define RECORDED_RUNS_MAX 16384
+#define RECORDED_ORDERS_MAX 2048
 
-/* ---- A small HTTP server --------------------------------------------------
+/* ---- HTTP listener
+ * ---------------------------------------------------------- */
+
+/*
+ * A small HTTP/1.1 server on a free loopback port, which the fake store and
+ * the fake servers share.
  */
 
-struct stage_peer {
+/* An accepted connection; it handles one request at a time. */
+struct http_session {
 	struct kwb_conn conn;
-	struct stage_port *port;
-	struct event *timer; /* of an answer in pieces, or one held back */
-	void *work;	     /* of the handler */
-	TAILQ_ENTRY(stage_peer) entry;
+	struct http_listener *listener;
+	struct event *timer; /* for an answer in pieces; NULL until then */
+	void *handler_state; /* of the request in work; NULL if none */
+	TAILQ_ENTRY(http_session) entry;
 };
 
-TAILQ_HEAD(stage_peer_list, stage_peer);
+TAILQ_HEAD(http_session_list, http_session);
 
-struct stage_port {
+struct http_listener {
 	struct event_base *base;
-	struct evconnlistener *listener;
-	struct kwb_address address;
-	struct stage_peer_list peers;
-	void (*on_request)(struct stage_peer *peer);
-	void (*on_gone)(struct stage_peer *peer); /* frees its work */
-	void *context;
+	struct evconnlistener *ev_listener;
+	struct kwb_address address; /* that it listens on */
+	struct http_session_list sessions;
+	void (*on_request)(struct http_session *session);
+	/* frees handler_state; NULL if there is none to free */
+	void (*on_close)(struct http_session *session);
+	void *context; /* the fake store or fake server */
 };
 
-int port_open(struct stage_port *port, struct event_base *base,
-    void (*on_request)(struct stage_peer *peer),
-    void (*on_gone)(struct stage_peer *peer), void *context);
-void port_close(struct stage_port *port);
-void peer_answer(struct stage_peer *peer, unsigned status, const char *headers,
-    const void *body, size_t body_bytes);
-void peer_close(struct stage_peer *peer, bool reset);
+/* Listens on a free port; returns 0 or KWB_ERR_SYSTEM. */
+int http_listener_open(struct http_listener *listener, struct event_base *base,
+    void (*on_request)(struct http_session *session),
+    void (*on_close)(struct http_session *session), void *context);
+/* Stops listening and closes all connections. */
+void http_listener_close(struct http_listener *listener);
+/*
+ * Sends a whole answer; headers are lines that end with CRLF, or "". Then the
+ * connection reads its next request.
+ */
+void http_session_answer(struct http_session *session, unsigned status,
+    const char *headers, const void *body, size_t body_bytes);
+/* Closes and frees the connection; with reset by a TCP reset. */
+void http_session_close(struct http_session *session, bool reset);
+
+/* ---- Fake store
+ * ------------------------------------------------------------- */
 
-/* ---- The store --------------------------------------------------------------
+/*
+ * The platform's store: rows with revisions, transactions, change feeds and
+ * objects, all in memory.
  */
 
 enum store_fault {
-	STORE_OK,
-	STORE_BUSY,   /* 503 */
-	STORE_MANY,   /* 429 */
-	STORE_RESET,  /* closes */
-	STORE_SILENT, /* answers nothing */
-	STORE_LOST,   /* writes are done and not answered */
-	STORE_LATE,   /* writes are done 300 ms later and not answered */
-	STORE_MUTE    /* writes are done, their connections say no more */
+	STORE_FAULT_NONE,
+	STORE_FAULT_503,	 /* answers 503 to every call */
+	STORE_FAULT_429,	 /* answers 429 to every call */
+	STORE_FAULT_RESET,	 /* resets the connection of every call */
+	STORE_FAULT_SILENT,	 /* answers no call, keeps connections open */
+	STORE_FAULT_LOSE_ANSWER, /* applies a write, then resets */
+	STORE_FAULT_DELAY_WRITE, /* resets, applies the write 300 ms later */
+	STORE_FAULT_NO_WRITE_ANSWER /* applies a write, never answers it */
 };
 
-struct stage_row {
+/* The newest revision of a row; a removed row stays, for the feeds. */
+struct testbed_row {
 	char *table;
 	char *part;
 	char *key;
@@ -71,144 +92,173 @@
 	uint64_t revision;
 };
 
-struct stage_object {
+/* A value that is too long for a row. */
+struct testbed_object {
 	char *name;
 	struct kwb_buf data;
 };
 
-struct late_write; /* done later, without an answer */
-TAILQ_HEAD(late_write_list, late_write);
+struct delayed_write; /* of STORE_FAULT_DELAY_WRITE */
+TAILQ_HEAD(delayed_write_list, delayed_write);
 
-struct stage_store {
-	struct stage_port port;
-	struct event *tick;
-	struct stage_row rows[STAGE_ROWS_MAX];
+struct testbed_store {
+	struct http_listener port;
+	struct event *feeds_timer; /* answers waiting feeds, each 5 ms */
+	struct testbed_row rows[TESTBED_ROWS_MAX];
 	unsigned rows_count;
-	struct stage_object objects[64];
+	struct testbed_object objects[64];
 	unsigned objects_count;
-	uint64_t revision;
-	uint64_t history_from; /* feeds from before this get 410 */
+	uint64_t revision;		/* of the newest write */
+	uint64_t history_from_revision; /* feeds that start earlier get 410 */
 	enum store_fault fault;
-	unsigned fault_left;  /* writes that it hits; 0 for all */
-	char silent_part[64]; /* calls about it are not answered; "" for none */
-	uint64_t begin_ns;
-	struct late_write_list late;
+	/*
+	 * Writes that a fault of writes still affects, from
+	 * STORE_FAULT_LOSE_ANSWER on; 0: all, until the fault is changed.
+	 */
+	unsigned fault_remaining;
+	char silent_part[64]; /* calls about this part get no answer; or "" */
+	uint64_t opened_ns;
+	struct delayed_write_list delayed_writes;
 };
 
-int stage_store_open(struct stage_store *store, struct event_base *base);
-void stage_store_close(struct stage_store *store);
-void stage_store_put(struct stage_store *store, const char *table,
-    const char *key, const char *text); /* as the operator or a server */
-void stage_store_remove(
-    struct stage_store *store, const char *table, const char *key);
-const struct stage_row *stage_store_row(const struct stage_store *store,
+/* Starts an empty store; returns 0 or KWB_ERR_SYSTEM. */
+int testbed_store_open(struct testbed_store *store, struct event_base *base);
+void testbed_store_close(struct testbed_store *store);
+/* Writes a row without a part, as an operator or a server does. */
+void testbed_store_put(struct testbed_store *store, const char *table,
+    const char *key, const char *text);
+/* Removes such a row. */
+void testbed_store_remove(
+    struct testbed_store *store, const char *table, const char *key);
+/* Returns the row, or NULL if it doesn't exist. */
+const struct testbed_row *testbed_store_find(const struct testbed_store *store,
     const char *table, const char *part, const char *key);
 
-/* ---- A server: a plain service, or a model server
- * ----------------------------- */
+/* ---- Fake servers
+ * ----------------------------------------------------------- */
+
+/*
+ * Upstream servers: plain ones that answer with the request's body, and model
+ * servers that stream events and load weights when ordered to.
+ */
 
 enum server_fault {
-	SERVER_OK,
-	SERVER_REFUSE,	    /* 503, not run */
-	SERVER_ERROR,	    /* 500 */
-	SERVER_NEVER,	    /* 422 */
-	SERVER_RESET,	    /* runs it and closes without an answer */
-	SERVER_SILENT,	    /* runs it and says nothing */
-	SERVER_OTHER_ID,    /* the answer of another request */
-	SERVER_CUT,	    /* ends in the middle of the body */
-	SERVER_EXTRA,	    /* a second answer behind the first */
-	SERVER_UNFRAMED,    /* no length, ends with the connection */
-	SERVER_GARBAGE,	    /* no HTTP */
-	SERVER_NO_RECEIPT,  /* 200 without receipt */
-	SERVER_SKIP,	    /* a stream lacks an event */
-	SERVER_MISDIRECTED, /* 421: another server has the address */
-	SERVER_STALL,	    /* sends nothing more on what is open */
-	SERVER_POUR_HEAD,   /* a header line without end */
-	SERVER_POUR_BODY,   /* a body without end */
-	SERVER_POUR_CHUNK,  /* a chunk's length without end */
-	SERVER_POUR_LINE,   /* a stream's line without end */
-	SERVER_TRICKLE	    /* a stream's comment each 100 ms, no event */
+	SERVER_FAULT_NONE,
+	SERVER_FAULT_REFUSE,	   /* 503 that says "not executed" */
+	SERVER_FAULT_500,	   /* answers 500 */
+	SERVER_FAULT_422,	   /* answers 422 */
+	SERVER_FAULT_RESET,	   /* runs the request, then resets */
+	SERVER_FAULT_SILENT,	   /* runs the request, never answers */
+	SERVER_FAULT_WRONG_ID,	   /* answers with another request's id */
+	SERVER_FAULT_TRUNCATE,	   /* closes in the middle of the body */
+	SERVER_FAULT_EXTRA_ANSWER, /* sends a second answer after the first */
+	SERVER_FAULT_NO_LENGTH,	   /* body ends with the connection */
+	SERVER_FAULT_NOT_HTTP,	   /* sends text that isn't HTTP */
+	SERVER_FAULT_NO_RECEIPT,   /* 200 without a receipt */
+	SERVER_FAULT_SKIP_EVENT,   /* leaves the third event of a stream out */
+	SERVER_FAULT_MISDIRECTED,  /* 421: another server has the address */
+	SERVER_FAULT_STALL,	   /* streams send nothing while it lasts */
+	SERVER_FAULT_ENDLESS_HEAD, /* a header line that never ends */
+	SERVER_FAULT_ENDLESS_BODY, /* a body that never ends */
+	SERVER_FAULT_ENDLESS_CHUNK_SIZE, /* a chunk size line that never ends */
+	SERVER_FAULT_ENDLESS_LINE,	 /* a stream's line that never ends */
+	SERVER_FAULT_COMMENTS_ONLY /* a stream of comments, one each 100 ms */
 };
 
-struct stage_run {
-	char id[64];
-	char server[32];
-	char prompt[64]; /* its parts */
-	char priority[4];
-	unsigned from; /* first event */
-	unsigned sent; /* last event */
+/* An execution of a request by a fake server. */
+struct recorded_run {
+	char id[64];	      /* Attempt-Id */
+	char server[32];      /* name */
+	char prompt[64];      /* Prompt-Prefix; "" if none */
+	char priority[4];     /* Priority-Class; "" if none */
+	unsigned first_event; /* from 1; 0: not a stream */
+	unsigned last_event;  /* that was sent; 0: none */
 };
 
-/* An order as it arrived, taken or not. */
-struct stage_order {
-	const struct stage_server *server;
-	char holder[32];
-	uint64_t fence;
-	uint64_t at_ns;
+/* An order to load weights, whether the server accepted it or not. */
+struct recorded_order {
+	const struct testbed_server *server;
+	char holder[32]; /* node that sent it */
+	uint64_t fence;	 /* its fencing token */
+	uint64_t received_ns;
 };
 
-struct stage_server {
-	struct stage *stage;
-	struct stage_port port;
+struct testbed_server {
+	struct testbed *testbed;
+	struct http_listener port;
 	char name[32];
 	char service[32];
 	struct kwb_address advertised; /* in its row; port 0: its own */
-	bool engine;
-	bool ignores_fences;
-	bool listed;
-	bool draining;
-	unsigned slots;
-	unsigned running;
-	uint64_t version;
-	uint64_t seq;
-	uint64_t fence;
-	unsigned pace_ms;
-	unsigned load_ms;
+	bool is_model_server;	       /* else a plain one */
+	bool ignores_fences;	       /* accepts orders with old tokens */
+	bool is_published;	       /* its row was written */
+	bool is_draining;
+	unsigned slots;		   /* streams at a time that it reports */
+	unsigned streams_open;	   /* now */
+	uint64_t version;	   /* of the weights */
+	uint64_t seq;		   /* orders accepted; an order must name it */
+	uint64_t fence;		   /* highest fencing token seen */
+	unsigned pace_ms;	   /* between two events of a stream */
+	unsigned load_duration_ms; /* how long a load of weights takes */
 	uint64_t loading_until_ns;
 	enum server_fault fault;
-	unsigned fault_left; /* requests that it hits; 0 for all */
-	unsigned orders;
+	unsigned fault_remaining; /* requests still affected; 0: all */
+	unsigned orders_accepted; /* so far */
 };
 
-void server_open(struct stage_server *server, struct stage *stage);
-void server_beat(struct stage_server *server); /* writes its row */
+/* Starts a server whose fields are set and publishes it. */
+void testbed_server_open(
+    struct testbed_server *server, struct testbed *testbed);
+/* Writes its row in the store, which is its heartbeat, too. */
+void testbed_server_publish(struct testbed_server *server);
 
-/* ---- The stage
- * --------------------------------------------------------------------- */
+/* ---- Testbed
+ * ------------------------------------------------------------------------- */
 
-struct stage_node {
+struct testbed_node {
 	char name[32];
-	bool running;
+	bool is_running;
 	struct kwb_node_settings settings;
 	struct platform_store store;
 	struct kwb_node node;
-	struct proxy path; /* to the store; open while has_path */
-	bool has_path;
-	bool alone; /* has no peers */
-	struct stage *stage;
+	struct proxy store_proxy; /* between node and store */
+	bool has_store_proxy;	  /* it is open; it outlives the node */
+	bool has_no_peers;	  /* doesn't listen for other nodes */
+	struct testbed *testbed;
 };
 
-struct stage {
+/* The event loop and everything that runs on it. */
+struct testbed {
 	struct event_base *base;
-	struct kwb_client client;
-	struct stage_store store;
-	struct stage_server servers[STAGE_SERVERS_MAX];
+	struct kwb_client client; /* of the test's own calls */
+	struct testbed_store store;
+	struct testbed_server servers[TESTBED_SERVERS_MAX];
 	unsigned servers_count;
-	struct stage_node nodes[STAGE_NODES_MAX];
+	struct testbed_node nodes[TESTBED_NODES_MAX];
 	unsigned nodes_count;
-	struct stage_run runs[STAGE_RUNS_MAX];
+	/* What all servers got, in order of arrival. */
+	struct recorded_run runs[RECORDED_RUNS_MAX];
 	unsigned runs_count;
-	struct stage_order orders[STAGE_ORDERS_MAX];
+	struct recorded_order orders[RECORDED_ORDERS_MAX];
 	unsigned orders_count;
 };
 
-void stage_init(struct stage *stage);
-void stage_finish(struct stage *stage);
-void stage_wait(struct stage *stage, unsigned length_ms);
-struct stage_node *stage_node(struct stage *stage, const char *name);
-struct stage_server *stage_server(struct stage *stage, const char *name);
-void stage_node_start(struct stage_node *node);
-void stage_node_kill(struct stage_node *node);
-void stage_free_address(struct kwb_address *address); /* a free port */
+/* Creates the event loop and opens the store. */
+void testbed_init(struct testbed *testbed);
+/* Closes and frees everything; nodes that run are killed. */
+void testbed_finish(struct testbed *testbed);
+/* Runs the event loop for this many milliseconds. */
+void testbed_run_for(struct testbed *testbed, unsigned duration_ms);
+/* Returns the node of this name; adds it, not started, if it is new. */
+struct testbed_node *testbed_node(struct testbed *testbed, const char *name);
+/* Returns the server of this name; adds it, not started, if it is new. */
+struct testbed_server *testbed_server(
+    struct testbed *testbed, const char *name);
+/* Starts a node on free ports, with its path to the store via a proxy. */
+void testbed_node_start(struct testbed_node *node);
+/* Ends a node at once, without a handover. */
+void testbed_node_kill(struct testbed_node *node);
+/* Sets a loopback address with a port that is free now. */
+void testbed_pick_address(struct kwb_address *address);
 
 #endif
