--- a/bench/measure.c
+++ b/bench/measure.c
@@ -13,7 +13,7 @@
 static int by_value(const void *a, const void *b);
 
 void
-account_take(struct world *world, const char *name, struct account *account)
+usage_read(struct world *world, const char *name, struct usage *usage)
 {
 	struct world_proc *proc = world_proc(world, name);
 	char path[64], text[1024];
@@ -21,44 +21,44 @@
 	clockid_t clock;
 	FILE *file;
 
-	memset(account, 0, sizeof(*account));
+	memset(usage, 0, sizeof(*usage));
 	if (clock_getcpuclockid(proc->pid, &clock) == 0)
 		clock_gettime(clock, &cpu);
-	account->cpu_ms = (double)cpu.tv_sec * 1e3 + (double)cpu.tv_nsec / 1e6;
+	usage->cpu_ms = (double)cpu.tv_sec * 1e3 + (double)cpu.tv_nsec / 1e6;
 	snprintf(path, sizeof(path), "/proc/%d/status", (int)proc->pid);
 	file = fopen(path, "r");
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strncmp(text, "VmRSS:", 6) == 0)
-			account->rss_kb = atof(text + 6);
+			usage->rss_kb = atof(text + 6);
 	if (file != NULL)
 		fclose(file);
-	account->control_bytes =
+	usage->control_bytes =
 	    metric_read(world, name, "\nkwb_control_bytes_total ");
 }
 
 void
-line_add(struct line *line, double x, double y)
+series_add(struct series *series, double x, double y)
 {
-	if (line->count == POINTS_MAX)
+	if (series->count == POINTS_MAX)
 		return;
-	line->x[line->count] = x;
-	line->y[line->count++] = y;
+	series->x[series->count] = x;
+	series->y[series->count++] = y;
 }
 
 void
-line_print(const struct line *line, const char *what, const char *per,
+series_print(const struct series *series, const char *what, const char *per,
     const char *unit)
 {
-	double n = line->count, sx = 0, sy = 0, sxx = 0, sxy = 0, slope;
+	double n = series->count, sx = 0, sy = 0, sxx = 0, sxy = 0, slope;
 	unsigned i;
 
 	printf("%-34s", what);
-	for (i = 0; i < line->count; i++) {
-		printf(" %g:%.4g", line->x[i], line->y[i]);
-		sx += line->x[i];
-		sy += line->y[i];
-		sxx += line->x[i] * line->x[i];
-		sxy += line->x[i] * line->y[i];
+	for (i = 0; i < series->count; i++) {
+		printf(" %g:%.4g", series->x[i], series->y[i]);
+		sx += series->x[i];
+		sy += series->y[i];
+		sxx += series->x[i] * series->x[i];
+		sxy += series->x[i] * series->y[i];
 	}
 	slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
 	printf(" | %.4g %s per %s, from %.4g\n", slope, unit, per,
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -1,5 +1,5 @@
 /*
- * What the measurements share: a process's own account, percentiles, a line
+ * What the measurements share: a process's own usage, percentiles, a series
  * through points.
  */
 #ifndef KWB_BENCH_MEASURE_H
@@ -9,22 +9,22 @@
 
 #define POINTS_MAX 8
 
-struct account {
+struct usage {
 	double cpu_ms;
 	double rss_kb;
 	double control_bytes; /* sent, by the process's own counter */
 };
 
-struct line {
+struct series {
 	unsigned count;
 	double x[POINTS_MAX];
 	double y[POINTS_MAX];
 };
 
-void account_take(
-    struct world *world, const char *name, struct account *account);
-void line_add(struct line *line, double x, double y);
-void line_print(const struct line *line, const char *what, const char *per,
+void usage_read(struct world *world, const char *name, struct usage *usage);
+void series_add(struct series *series, double x, double y);
+void series_print(const struct series *series, const char *what,
+    const char *per,
     const char *unit); /* the points, the slope and where it begins */
 double percentile(double *values, unsigned count, double part);
 
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -53,7 +53,7 @@
 	double step_ns; /* mean */
 	double bound_ns;
 	double age_sum;
-	double age_most;
+	double age_max;
 	double samples;
 	double wrong;
 	double wasted;
@@ -156,7 +156,7 @@
 		    outcome->step_ns / 1e6, outcome->bound_ns / 1e6,
 		    outcome->step_ns / outcome->bound_ns,
 		    100 * outcome->idle_ns / outcome->total_ns,
-		    outcome->age_sum / outcome->samples, outcome->age_most,
+		    outcome->age_sum / outcome->samples, outcome->age_max,
 		    100 * outcome->wasted / outcome->tokens,
 		    100 * cache_share(&world), outcome->wrong);
 		world_stop(&world);
@@ -210,8 +210,8 @@
 			sum.age_sum += outcome->age_sum;
 			sum.samples += outcome->samples;
 			sum.wrong += outcome->wrong;
-			if (outcome->age_most > sum.age_most)
-				sum.age_most = outcome->age_most;
+			if (outcome->age_max > sum.age_max)
+				sum.age_max = outcome->age_max;
 			sum.step_ns += outcome->step_ns / 2;
 		}
 		stopping = true;
@@ -221,7 +221,7 @@
 		       "age_mean=%.2f age_max=%.0f cache=%.0f%% wrong=%.0f\n",
 		    deployment->name, policies[i], sum.step_ns / 1e6,
 		    100 * sum.idle_ns / sum.total_ns, sum.age_sum / sum.samples,
-		    sum.age_most, 100 * cache_share(&world), sum.wrong);
+		    sum.age_max, 100 * cache_share(&world), sum.wrong);
 		printf("      callers alone:  ");
 		callers_print(alone, 4);
 		printf("      callers beside: ");
@@ -319,27 +319,29 @@
 
 	for (step = 1; step <= trainer->steps; step++) {
 		double bound_ns = step_bound_ns(trainer, step);
-		double time_ns;
+		double elapsed_ns;
 
 		if (step == trainer->kill_in_step)
 			pthread_create(&killer, NULL, kill_one, trainer->world);
 		train_step(trainer, step, step, &result);
 		if (step == trainer->kill_in_step)
 			pthread_join(killer, NULL);
-		time_ns = (double)result.time_ns;
+		elapsed_ns = (double)result.elapsed_ns;
 		world_publish(trainer->world, trainer->model, step + 1);
 		outcome->samples += result.received;
 		outcome->age_sum += (double)result.age_sum;
 		outcome->wrong += result.wrong + result.doubled + result.stale;
 		outcome->tokens += (double)result.tokens;
-		if ((double)result.age_most > outcome->age_most)
-			outcome->age_most = (double)result.age_most;
+		if ((double)result.age_max > outcome->age_max)
+			outcome->age_max = (double)result.age_max;
 		if (trainer->kill_in_step != 0 && step != trainer->kill_in_step)
 			continue;
-		outcome->step_ns += time_ns;
+		outcome->step_ns += elapsed_ns;
 		outcome->bound_ns += bound_ns;
-		outcome->idle_ns += time_ns > bound_ns ? time_ns - bound_ns : 0;
-		outcome->total_ns += time_ns > bound_ns ? time_ns : bound_ns;
+		outcome->idle_ns +=
+		    elapsed_ns > bound_ns ? elapsed_ns - bound_ns : 0;
+		outcome->total_ns +=
+		    elapsed_ns > bound_ns ? elapsed_ns : bound_ns;
 	}
 	if (trainer->kill_in_step == 0) {
 		outcome->step_ns /= trainer->steps;
@@ -360,14 +362,14 @@
 	    .samples = SAMPLES,
 	    .max_tokens = MAX_TOKENS,
 	    .weight_version = version,
-	    .bound_versions = 2,
+	    .staleness_bound_versions = 2,
 	    .length_median = LENGTH_MEDIAN,
-	    .length_spread = LENGTH_SPREAD,
+	    .length_spread_percent = LENGTH_SPREAD,
 	    .deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS};
 
 	world_url(trainer->world, "entry-1", urls[0], sizeof(urls[0]));
 	world_url(trainer->world, "entry-2", urls[1], sizeof(urls[1]));
-	trainer_pull(&pull, step, result);
+	trainer_pull_step(&pull, step, result);
 }
 
 /*
@@ -383,11 +385,11 @@
 	char prompt[256];
 
 	for (group = 0; group < GROUPS; group++) {
-		trainer_prompt(
+		trainer_format_prompt(
 		    prompt, sizeof(prompt), trainer->plan, step, group);
 		for (sample = 0; sample < SAMPLES; sample++) {
-			length = fake_length(
-			    fake_sequence(prompt, group * 16384 + sample),
+			length = fake_sequence_length(
+			    fake_sequence_hash(prompt, group * 16384 + sample),
 			    LENGTH_MEDIAN, LENGTH_SPREAD);
 			if (length > MAX_TOKENS)
 				length = MAX_TOKENS;
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -45,7 +45,7 @@
     unsigned max_tokens);
 static void *load_caller(void *argument);
 static double idle_cpu(
-    struct world *world, const char *name, struct account *idle);
+    struct world *world, const char *name, struct usage *idle);
 
 int
 main(int argc, char **argv)
@@ -81,65 +81,65 @@
 {
 	static const unsigned agents[] = {4, 8, 16, 24};
 	static const unsigned entries[] = {1, 2, 4, 8};
-	struct line cpu = {0}, rss = {0}, bytes = {0};
-	struct account account;
+	struct series cpu = {0}, rss = {0}, bytes = {0};
+	struct usage usage;
 	static struct world world;
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
 		world_make(&world, 1, agents[i], 2);
-		line_add(
-		    &cpu, agents[i], idle_cpu(&world, "entry-1", &account));
-		line_add(&rss, agents[i], account.rss_kb);
-		line_add(&bytes, agents[i], account.control_bytes);
+		series_add(
+		    &cpu, agents[i], idle_cpu(&world, "entry-1", &usage));
+		series_add(&rss, agents[i], usage.rss_kb);
+		series_add(&bytes, agents[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	line_print(&cpu, "entry idle, core", "agent", "%");
-	line_print(&rss, "entry idle, memory", "agent", "KB");
-	line_print(&bytes, "entry idle, control sent", "agent", "bytes/s");
+	series_print(&cpu, "entry idle, core", "agent", "%");
+	series_print(&rss, "entry idle, memory", "agent", "KB");
+	series_print(&bytes, "entry idle, control sent", "agent", "bytes/s");
 	memset(&cpu, 0, sizeof(cpu));
 	memset(&rss, 0, sizeof(rss));
 	memset(&bytes, 0, sizeof(bytes));
 	for (i = 0; i < 4; i++) {
 		world_make(&world, entries[i], 2, 2);
-		line_add(&cpu, entries[i], idle_cpu(&world, "llm-1", &account));
-		line_add(&rss, entries[i], account.rss_kb);
-		line_add(&bytes, entries[i], account.control_bytes);
+		series_add(&cpu, entries[i], idle_cpu(&world, "llm-1", &usage));
+		series_add(&rss, entries[i], usage.rss_kb);
+		series_add(&bytes, entries[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	line_print(&cpu, "agent idle, core", "entry", "%");
-	line_print(&rss, "agent idle, memory", "entry", "KB");
-	line_print(&bytes, "agent idle, control sent", "entry", "bytes/s");
+	series_print(&cpu, "agent idle, core", "entry", "%");
+	series_print(&rss, "agent idle, memory", "entry", "KB");
+	series_print(&bytes, "agent idle, control sent", "entry", "bytes/s");
 }
 
 static void
 slope_requests(void)
 {
 	static const unsigned requests[] = {500, 1000, 2000, 4000};
-	struct line entry = {0}, agent = {0}, rate = {0};
-	struct account before, after, agent_before, agent_after;
+	struct series entry = {0}, agent = {0}, rate = {0};
+	struct usage before, after, agent_before, agent_after;
 	static struct world world;
 	uint64_t begun_ns;
 	unsigned i;
 
 	world_make(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
-		account_take(&world, "entry-1", &before);
-		account_take(&world, "llm-1", &agent_before);
+		usage_read(&world, "entry-1", &before);
+		usage_read(&world, "llm-1", &agent_before);
 		begun_ns = kwb_clock_now_ns();
 		load_run(&world, CALLERS, requests[i], 1);
-		line_add(&rate, requests[i],
+		series_add(&rate, requests[i],
 		    requests[i] * 1e9 /
 			(double)(kwb_clock_now_ns() - begun_ns));
-		account_take(&world, "entry-1", &after);
-		account_take(&world, "llm-1", &agent_after);
-		line_add(&entry, requests[i], after.cpu_ms - before.cpu_ms);
-		line_add(&agent, requests[i],
+		usage_read(&world, "entry-1", &after);
+		usage_read(&world, "llm-1", &agent_after);
+		series_add(&entry, requests[i], after.cpu_ms - before.cpu_ms);
+		series_add(&agent, requests[i],
 		    agent_after.cpu_ms - agent_before.cpu_ms);
 	}
-	line_print(&entry, "entry, short answers", "request", "ms");
-	line_print(&agent, "agent, short answers", "request", "ms");
-	line_print(&rate, "requests a second, 8 callers", "request", "1/s");
+	series_print(&entry, "entry, short answers", "request", "ms");
+	series_print(&agent, "agent, short answers", "request", "ms");
+	series_print(&rate, "requests a second, 8 callers", "request", "1/s");
 	world_stop(&world);
 }
 
@@ -147,25 +147,25 @@
 slope_tokens(void)
 {
 	static const unsigned tokens[] = {50, 100, 200, 400};
-	struct line entry = {0}, agent = {0};
-	struct account before, after, agent_before, agent_after;
+	struct series entry = {0}, agent = {0};
+	struct usage before, after, agent_before, agent_after;
 	static struct world world;
 	unsigned i;
 
 	world_make(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
-		account_take(&world, "entry-1", &before);
-		account_take(&world, "llm-1", &agent_before);
+		usage_read(&world, "entry-1", &before);
+		usage_read(&world, "llm-1", &agent_before);
 		load_run(&world, CALLERS, 64, tokens[i]);
-		account_take(&world, "entry-1", &after);
-		account_take(&world, "llm-1", &agent_after);
-		line_add(&entry, 64.0 * tokens[i],
+		usage_read(&world, "entry-1", &after);
+		usage_read(&world, "llm-1", &agent_after);
+		series_add(&entry, 64.0 * tokens[i],
 		    (after.cpu_ms - before.cpu_ms) * 1000);
-		line_add(&agent, 64.0 * tokens[i],
+		series_add(&agent, 64.0 * tokens[i],
 		    (agent_after.cpu_ms - agent_before.cpu_ms) * 1000);
 	}
-	line_print(&entry, "entry, streamed answers", "token", "us");
-	line_print(&agent, "agent, streamed answers", "token", "us");
+	series_print(&entry, "entry, streamed answers", "token", "us");
+	series_print(&agent, "agent, streamed answers", "token", "us");
 	world_stop(&world);
 }
 
@@ -174,8 +174,8 @@
 slope_streams(void)
 {
 	static const unsigned streams[] = {8, 16, 32, 64};
-	struct line entry = {0}, agent = {0};
-	struct account account;
+	struct series entry = {0}, agent = {0};
+	struct usage usage;
 	static struct world world;
 	unsigned i;
 
@@ -188,24 +188,24 @@
 		for (j = 0; j < streams[i]; j++)
 			pthread_create(&threads[j], NULL, load_caller, &load);
 		kwb_clock_sleep_ns(1000 * KWB_MS_NS);
-		account_take(&world, "entry-1", &account);
-		line_add(&entry, streams[i], account.rss_kb);
-		account_take(&world, "llm-1", &account);
-		line_add(&agent, streams[i], account.rss_kb);
+		usage_read(&world, "entry-1", &usage);
+		series_add(&entry, streams[i], usage.rss_kb);
+		usage_read(&world, "llm-1", &usage);
+		series_add(&agent, streams[i], usage.rss_kb);
 		for (j = 0; j < streams[i]; j++)
 			pthread_join(threads[j], NULL);
 		world_stop(&world);
 	}
-	line_print(&entry, "entry, open streams, memory", "stream", "KB");
-	line_print(&agent, "agent, open streams, memory", "stream", "KB");
+	series_print(&entry, "entry, open streams, memory", "stream", "KB");
+	series_print(&agent, "agent, open streams, memory", "stream", "KB");
 }
 
 static void
 slope_changes(void)
 {
 	static const unsigned changes[] = {10, 20, 40, 80};
-	struct line cpu = {0}, bytes = {0}, agent_cpu = {0};
-	struct account before, after, agent_before, agent_after;
+	struct series cpu = {0}, bytes = {0}, agent_cpu = {0};
+	struct usage before, after, agent_before, agent_after;
 	static struct world world;
 	char assignment[32];
 	const char *arguments[] = {
@@ -219,8 +219,8 @@
 	idle_bytes = before.control_bytes;
 	agent_idle = idle_cpu(&world, "llm-1", &before);
 	for (i = 0; i < 4; i++) {
-		account_take(&world, "entry-1", &before);
-		account_take(&world, "llm-1", &agent_before);
+		usage_read(&world, "entry-1", &before);
+		usage_read(&world, "llm-1", &agent_before);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < changes[i]; j++) {
 			snprintf(assignment, sizeof(assignment), "queue=%u",
@@ -229,20 +229,20 @@
 		}
 		kwb_clock_sleep_ns(1500 * KWB_MS_NS);
 		passed_s = (double)(kwb_clock_now_ns() - begun_ns) / 1e9;
-		account_take(&world, "entry-1", &after);
-		account_take(&world, "llm-1", &agent_after);
-		line_add(&cpu, changes[i],
+		usage_read(&world, "entry-1", &after);
+		usage_read(&world, "llm-1", &agent_after);
+		series_add(&cpu, changes[i],
 		    after.cpu_ms - before.cpu_ms - idle * 10 * passed_s);
-		line_add(&agent_cpu, changes[i],
+		series_add(&agent_cpu, changes[i],
 		    agent_after.cpu_ms - agent_before.cpu_ms -
 			agent_idle * 10 * passed_s);
-		line_add(&bytes, changes[i],
+		series_add(&bytes, changes[i],
 		    after.control_bytes - before.control_bytes -
 			idle_bytes * passed_s);
 	}
-	line_print(&cpu, "entry, changes, 16 plans", "change", "ms");
-	line_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
-	line_print(
+	series_print(&cpu, "entry, changes, 16 plans", "change", "ms");
+	series_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
+	series_print(
 	    &bytes, "entry, changes, sent to 4 agents", "change", "bytes");
 	world_stop(&world);
 }
@@ -251,27 +251,28 @@
 slope_plans(void)
 {
 	static const unsigned plans[] = {2, 8, 24, 48};
-	struct line cpu = {0}, rss = {0}, bytes = {0}, agent_cpu = {0},
-		    agent_bytes = {0};
-	struct account account;
+	struct series cpu = {0}, rss = {0}, bytes = {0}, agent_cpu = {0},
+		      agent_bytes = {0};
+	struct usage usage;
 	static struct world world;
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
 		world_make(&world, 1, 4, plans[i]);
-		line_add(&cpu, plans[i], idle_cpu(&world, "entry-1", &account));
-		line_add(&rss, plans[i], account.rss_kb);
-		line_add(&bytes, plans[i], account.control_bytes);
-		line_add(
-		    &agent_cpu, plans[i], idle_cpu(&world, "llm-1", &account));
-		line_add(&agent_bytes, plans[i], account.control_bytes);
+		series_add(&cpu, plans[i], idle_cpu(&world, "entry-1", &usage));
+		series_add(&rss, plans[i], usage.rss_kb);
+		series_add(&bytes, plans[i], usage.control_bytes);
+		series_add(
+		    &agent_cpu, plans[i], idle_cpu(&world, "llm-1", &usage));
+		series_add(&agent_bytes, plans[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	line_print(&cpu, "entry idle, core", "plan", "%");
-	line_print(&rss, "entry idle, memory", "plan", "KB");
-	line_print(&bytes, "entry idle, control sent", "plan", "bytes/s");
-	line_print(&agent_cpu, "agent idle, core", "plan", "%");
-	line_print(&agent_bytes, "agent idle, control sent", "plan", "bytes/s");
+	series_print(&cpu, "entry idle, core", "plan", "%");
+	series_print(&rss, "entry idle, memory", "plan", "KB");
+	series_print(&bytes, "entry idle, control sent", "plan", "bytes/s");
+	series_print(&agent_cpu, "agent idle, core", "plan", "%");
+	series_print(
+	    &agent_bytes, "agent idle, control sent", "plan", "bytes/s");
 }
 
 /* Reads and writes that the platform sees, by entries and by agents. */
@@ -280,7 +281,7 @@
 {
 	static const unsigned entries[] = {1, 2, 4, 8};
 	static const unsigned agents[] = {4, 8, 16, 24};
-	struct line reads = {0}, writes = {0}, agent_reads = {0};
+	struct series reads = {0}, writes = {0}, agent_reads = {0};
 	static struct world world;
 	int64_t read, written;
 	double seconds = IDLE_NS / 1e9;
@@ -297,19 +298,19 @@
 			written =
 			    world_get(&world, "platform", "writes") - written;
 			if (pass)
-				line_add(&agent_reads, agents[i],
+				series_add(&agent_reads, agents[i],
 				    (double)read / seconds);
 			else
-				line_add(
+				series_add(
 				    &reads, entries[i], (double)read / seconds);
 			if (!pass)
-				line_add(&writes, entries[i],
+				series_add(&writes, entries[i],
 				    (double)written / seconds);
 			world_stop(&world);
 		}
-	line_print(&reads, "table reads", "entry", "1/s");
-	line_print(&writes, "table writes", "entry", "1/s");
-	line_print(&agent_reads, "table reads", "agent", "1/s");
+	series_print(&reads, "table reads", "entry", "1/s");
+	series_print(&writes, "table writes", "entry", "1/s");
+	series_print(&agent_reads, "table reads", "agent", "1/s");
 }
 
 /* Functions whose input grows with the fleet. */
@@ -319,7 +320,7 @@
 	static const unsigned sizes[] = {425, 850, 1700, 3400};
 	static struct kwb_share_member members[KWB_VMS_MAX];
 	static struct kwb_vms vms;
-	struct line subset = {0}, home = {0}, share = {0};
+	struct series subset = {0}, home = {0}, share = {0};
 	uint32_t chosen[KWB_PEERS_MAX];
 	uint64_t begun_ns;
 	unsigned i, j;
@@ -340,23 +341,23 @@
 		for (j = 0; j < 10; j++)
 			kwb_subset_select(
 			    &vms, "entry-1", "fd-1", 24, chosen, KWB_PEERS_MAX);
-		line_add(&subset, sizes[i],
+		series_add(&subset, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
 			kwb_holders_select(
 			    &vms, "llm", "quotes", 256, chosen, KWB_PEERS_MAX);
-		line_add(&home, sizes[i],
+		series_add(&home, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
 		begun_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
 			kwb_share_next(2048, "quotes", members, sizes[i], 1, 0);
-		line_add(&share, sizes[i],
+		series_add(&share, sizes[i],
 		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
 	}
-	line_print(&subset, "entry, subset of a changed list", "VM", "us");
-	line_print(&home, "entry, homes of a plan", "VM", "us");
-	line_print(&share, "agent, share of a plan", "VM", "us");
+	series_print(&subset, "entry, subset of a changed list", "VM", "us");
+	series_print(&home, "entry, homes of a plan", "VM", "us");
+	series_print(&share, "agent, share of a plan", "VM", "us");
 }
 
 /* What entry and agent add to a request, asked directly in turn with it. */
@@ -474,14 +475,14 @@
 
 /* Percent of a core over a while without load; control bytes a second. */
 static double
-idle_cpu(struct world *world, const char *name, struct account *idle)
+idle_cpu(struct world *world, const char *name, struct usage *idle)
 {
-	struct account before;
+	struct usage before;
 	double seconds = IDLE_NS / 1e9;
 
-	account_take(world, name, &before);
+	usage_read(world, name, &before);
 	kwb_clock_sleep_ns(IDLE_NS);
-	account_take(world, name, idle);
+	usage_read(world, name, idle);
 	idle->control_bytes =
 	    (idle->control_bytes - before.control_bytes) / seconds;
 	return (idle->cpu_ms - before.cpu_ms) / (seconds * 10);
--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -46,7 +46,7 @@
 	uint32_t prompt_words;
 	int priority;
 	uint64_t cache_key;
-	char text[FAKE_TOKEN_BYTES]; /* token waiting to be written */
+	char text[FAKE_TOKEN_MAX_BYTES]; /* token waiting to be written */
 	uint64_t version;
 	bool full;
 	bool running;
@@ -78,7 +78,7 @@
 	STARTED
 };
 
-static struct fake_switch switches[] = {
+static struct fake_control controls[] = {
     [TOKEN_US] = {"token_us", 2000},
     [BATCH_US] = {"batch_us", 20},
     [PREFILL_US] = {"prefill_us", 20},
@@ -115,7 +115,7 @@
 static struct model *model_find(const char *name, bool make);
 static bool cache_touch(uint64_t key);
 static unsigned sequence_line(
-    const struct sequence *sequence, char *line, size_t room_bytes);
+    const struct sequence *sequence, char *line, size_t capacity_bytes);
 static void sequence_stop(struct sequence *sequence);
 static int on_cancel(struct mg_connection *connection, void *context);
 static bool weights_fetch(const char *model, uint64_t version);
@@ -130,14 +130,14 @@
 	pthread_t thread;
 
 	platform = fake_option(argc, argv, "--platform", "");
-	for (i = 0; i < sizeof(switches) / sizeof(switches[0]); i++) {
+	for (i = 0; i < sizeof(controls) / sizeof(controls[0]); i++) {
 		char option[64];
 		const char *value;
 
-		snprintf(option, sizeof(option), "--%s", switches[i].name);
+		snprintf(option, sizeof(option), "--%s", controls[i].name);
 		value = fake_option(argc, argv, option, NULL);
 		if (value != NULL)
-			switches[i].value = strtoll(value, NULL, 10);
+			controls[i].value = strtoll(value, NULL, 10);
 	}
 	kwb_text_copy(names, sizeof(names), list);
 	while ((name = strsep(&rest, ",")) != NULL)
@@ -145,14 +145,14 @@
 	kwb_http_init();
 	context =
 	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7100"),
-		THREADS, switches, sizeof(switches) / sizeof(switches[0]));
+		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	pthread_create(&thread, NULL, engine_run, NULL);
 	mg_set_request_handler(
 	    context, "/v1/completions$", on_completions, NULL);
 	mg_set_request_handler(context, "/cancel$", on_cancel, NULL);
 	mg_set_request_handler(context, "/load$", on_load, NULL);
 	mg_set_request_handler(context, "/orders$", on_orders, NULL);
-	fake_wait();
+	fake_wait_for_signal();
 	return 0;
 }
 
@@ -170,7 +170,7 @@
 
 	(void)context;
 	kwb_buf_init(&body);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	root = json_loads(kwb_buf_text(&body), 0, NULL);
 	kwb_buf_finish(&body);
 	prompt = json_string_value(json_object_get(root, "prompt"));
@@ -179,17 +179,17 @@
 	    json_string_value(json_object_get(root, "model")), false);
 	pthread_mutex_unlock(&lock);
 	if (prompt == NULL || sequence.model == NULL) {
-		fake_send(connection, 400, "", "", 0);
+		fake_send_response(connection, 400, "", "", 0);
 		json_decref(root);
 		return 400;
 	}
-	sequence.hash = fake_sequence(prompt,
+	sequence.hash = fake_sequence_hash(prompt,
 	    (uint64_t)json_integer_value(json_object_get(root, "seed")));
 	sequence.cache_key = kwb_hash(prompt, 0);
 	sequence.made =
 	    (uint32_t)json_array_size(json_object_get(root, "resume"));
-	sequence.length = fake_length(sequence.hash,
-	    switches[LENGTH_MEDIAN].value, switches[LENGTH_SPREAD].value);
+	sequence.length = fake_sequence_length(sequence.hash,
+	    controls[LENGTH_MEDIAN].value, controls[LENGTH_SPREAD].value);
 	max_tokens = json_integer_value(json_object_get(root, "max_tokens"));
 	if (max_tokens > 0 && sequence.length > max_tokens)
 		sequence.length = (uint32_t)max_tokens;
@@ -205,7 +205,7 @@
 	mg_send_http_ok(connection, "text/event-stream", -1);
 
 	pthread_mutex_lock(&lock);
-	switches[STARTED].value++;
+	controls[STARTED].value++;
 	TAILQ_INSERT_TAIL(&sequences, &sequence, next);
 	while (
 	    going && !sequence.cancelled && sequence.made < sequence.length) {
@@ -242,12 +242,13 @@
 }
 
 static unsigned
-sequence_line(const struct sequence *sequence, char *line, size_t room_bytes)
+sequence_line(
+    const struct sequence *sequence, char *line, size_t capacity_bytes)
 {
-	if (switches[NO_VERSIONS].value)
-		return (unsigned)snprintf(line, room_bytes,
+	if (controls[NO_VERSIONS].value)
+		return (unsigned)snprintf(line, capacity_bytes,
 		    "data: {\"token\":\"%s\"}\n\n", sequence->text);
-	return (unsigned)snprintf(line, room_bytes,
+	return (unsigned)snprintf(line, capacity_bytes,
 	    "data: {\"token\":\"%s\",\"version\":%llu}\n\n", sequence->text,
 	    (unsigned long long)sequence->version);
 }
@@ -262,7 +263,7 @@
 
 	(void)context;
 	kwb_buf_init(&name);
-	fake_read(connection, &name);
+	fake_read_body(connection, &name);
 	pthread_mutex_lock(&lock);
 	TAILQ_FOREACH (sequence, &sequences, next) {
 		if (strcmp(sequence->name, kwb_buf_text(&name)) != 0)
@@ -274,7 +275,7 @@
 	}
 	pthread_mutex_unlock(&lock);
 	kwb_buf_finish(&name);
-	fake_send(connection, status, "", "", 0);
+	fake_send_response(connection, status, "", "", 0);
 	return status;
 }
 
@@ -285,7 +286,7 @@
 	if (!sequence->running)
 		return;
 	sequence->running = false;
-	switches[RUNNING].value--;
+	controls[RUNNING].value--;
 	sequence->model->running--;
 }
 
@@ -301,7 +302,7 @@
 	kwb_buf_init(&out);
 	pthread_mutex_lock(&lock);
 	kwb_buf_printf(&out, "{\"running\":%lld,\"models\":{",
-	    (long long)switches[RUNNING].value);
+	    (long long)controls[RUNNING].value);
 	for (i = 0; i < models_count; i++)
 		kwb_buf_printf(&out,
 		    "%s\"%s\":{\"version\":%llu,\"swapping\":%s,"
@@ -313,12 +314,12 @@
 	if (kwb_clock_now_ns() >= lagged_ns) {
 		kwb_text_copy(lagged, sizeof(lagged), out.data);
 		lagged_ns = kwb_clock_now_ns() +
-		    (uint64_t)switches[LOAD_LAG_MS].value * KWB_MS_NS;
+		    (uint64_t)controls[LOAD_LAG_MS].value * KWB_MS_NS;
 	}
 	out.used_bytes = 0;
 	kwb_buf_add(&out, lagged, strlen(lagged));
 	pthread_mutex_unlock(&lock);
-	fake_send(connection, 200, "", out.data, out.used_bytes);
+	fake_send_response(connection, 200, "", out.data, out.used_bytes);
 	kwb_buf_finish(&out);
 	return 200;
 }
@@ -338,7 +339,7 @@
 
 	(void)context;
 	kwb_buf_init(&body);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	root = json_loads(kwb_buf_text(&body), 0, NULL);
 	kwb_buf_finish(&body);
 	version =
@@ -349,8 +350,8 @@
 	model =
 	    model_find(json_string_value(json_object_get(root, "model")), true);
 	if (fence < model->fence) {
-		switches[ORDERS_OLD].value++;
-		if (!switches[IGNORE_FENCE].value)
+		controls[ORDERS_OLD].value++;
+		if (!controls[IGNORE_FENCE].value)
 			status = 409;
 	} else {
 		model->fence = fence;
@@ -363,19 +364,19 @@
 		model->swapping = true;
 		pthread_mutex_unlock(&lock);
 		kwb_clock_sleep_ns(
-		    (uint64_t)switches[SWAP_MS].value * KWB_MS_NS);
+		    (uint64_t)controls[SWAP_MS].value * KWB_MS_NS);
 		pthread_mutex_lock(&lock);
 		model->swapping = false;
 		model->version = version;
-		if (switches[FAIL_SWAP].value > 0) {
-			switches[FAIL_SWAP].value--;
+		if (controls[FAIL_SWAP].value > 0) {
+			controls[FAIL_SWAP].value--;
 			model->version = 0;
 			status = 500;
 		}
 		pthread_mutex_unlock(&lock);
 	}
 	json_decref(root);
-	fake_send(connection, status, "", "", 0);
+	fake_send_response(connection, status, "", "", 0);
 	return status;
 }
 
@@ -422,9 +423,9 @@
 engine_step(void)
 {
 	struct sequence *sequence, *best;
-	uint64_t step_us = (uint64_t)switches[TOKEN_US].value;
+	uint64_t step_us = (uint64_t)controls[TOKEN_US].value;
 
-	while (switches[RUNNING].value < switches[SLOTS].value) {
+	while (controls[RUNNING].value < controls[SLOTS].value) {
 		best = NULL;
 		TAILQ_FOREACH (sequence, &sequences, next)
 			if (!sequence->running && !sequence->cancelled &&
@@ -435,24 +436,24 @@
 			break;
 		best->running = true;
 		best->model->running++;
-		if (++switches[RUNNING].value > switches[MOST].value)
-			switches[MOST].value = (int64_t)switches[RUNNING].value;
+		if (++controls[RUNNING].value > controls[MOST].value)
+			controls[MOST].value = (int64_t)controls[RUNNING].value;
 		if (!cache_touch(best->cache_key))
 			step_us += best->prompt_words *
-			    (uint64_t)switches[PREFILL_US].value;
+			    (uint64_t)controls[PREFILL_US].value;
 	}
-	if (switches[STUCK].value)
+	if (controls[STUCK].value)
 		return step_us * 1000;
 	TAILQ_FOREACH (sequence, &sequences, next) {
 		if (!sequence->running || sequence->full ||
 		    sequence->model->swapping || sequence->model->version == 0)
 			continue;
-		fake_token(sequence->text, sequence->hash, sequence->made,
+		fake_token_text(sequence->text, sequence->hash, sequence->made,
 		    sequence->model->version);
 		sequence->version = sequence->model->version;
 		sequence->full = true;
-		switches[TOKENS].value++;
-		step_us += (uint64_t)switches[BATCH_US].value;
+		controls[TOKENS].value++;
+		step_us += (uint64_t)controls[BATCH_US].value;
 		pthread_cond_signal(&sequence->ready);
 	}
 	return step_us * 1000;
@@ -480,10 +481,10 @@
 
 	for (i = 0; i < CACHE_MAX; i++)
 		if (cache[i] == key) {
-			switches[CACHE_HITS].value++;
+			controls[CACHE_HITS].value++;
 			return true;
 		}
 	cache[cache_next++ % CACHE_MAX] = key;
-	switches[CACHE_MISSES].value++;
+	controls[CACHE_MISSES].value++;
 	return false;
 }
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -24,7 +24,7 @@
 
 LIST_HEAD(row_list, row);
 
-static struct fake_switch switches[] = {{"down", 0}, {"slow_ms", 0},
+static struct fake_control controls[] = {{"down", 0}, {"slow_ms", 0},
     {"lose_answers", 0}, {"objects_down", 0}, {"weights_down", 0},
     {"vms_down", 0}, {"vms_lag_ms", 0}, {"weights_mb_s", 0}, {"reads", 0},
     {"writes", 0}};
@@ -50,12 +50,12 @@
 
 	context =
 	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7000"),
-		THREADS, switches, sizeof(switches) / sizeof(switches[0]));
+		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	mg_set_request_handler(context, "/table/", on_table, NULL);
 	mg_set_request_handler(context, "/objects/", on_objects, NULL);
 	mg_set_request_handler(context, "/weights/", on_weights, NULL);
 	mg_set_request_handler(context, "/vms$", on_vms, NULL);
-	fake_wait();
+	fake_wait_for_signal();
 	return 0;
 }
 
@@ -73,7 +73,7 @@
 	(void)context;
 	kwb_buf_init(&body);
 	kwb_buf_init(&value);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	if (fails(connection, "down")) {
 		kwb_buf_finish(&body);
 		return 0;
@@ -94,14 +94,14 @@
 		kwb_buf_add(&value, row->value.data, row->value.used_bytes);
 	pthread_mutex_unlock(&rows_lock);
 	kwb_buf_finish(&body);
-	if (put && fake_value("lose_answers")) {
+	if (put && fake_control_get("lose_answers")) {
 		mg_close_connection(connection);
 		kwb_buf_finish(&value);
 		return 0;
 	}
 	snprintf(headers, sizeof(headers), "ETag: %llu\r\n",
 	    (unsigned long long)revision);
-	fake_send(connection, status, headers, kwb_buf_text(&value),
+	fake_send_response(connection, status, headers, kwb_buf_text(&value),
 	    value.used_bytes);
 	kwb_buf_finish(&value);
 	return status;
@@ -135,7 +135,7 @@
 
 	(void)context;
 	kwb_buf_init(&body);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	if (fails(connection, "objects_down")) {
 		kwb_buf_finish(&body);
 		return 0;
@@ -150,7 +150,8 @@
 		kwb_buf_add(&body, row->value.data, row->value.used_bytes);
 	}
 	pthread_mutex_unlock(&rows_lock);
-	fake_send(connection, status, "", kwb_buf_text(&body), body.used_bytes);
+	fake_send_response(
+	    connection, status, "", kwb_buf_text(&body), body.used_bytes);
 	kwb_buf_finish(&body);
 	return status;
 }
@@ -165,14 +166,14 @@
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	const char *version = strchr(info->local_uri + 9, '/');
-	int64_t rate = fake_value("weights_mb_s");
+	int64_t rate = fake_control_get("weights_mb_s");
 	struct kwb_buf body;
 	struct row *row;
 	int status = 200;
 
 	(void)context;
 	kwb_buf_init(&body);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	if (fails(connection, "weights_down")) {
 		kwb_buf_finish(&body);
 		return 0;
@@ -182,7 +183,7 @@
 		if (rate > 0)
 			kwb_clock_sleep_ns(1000 * KWB_MS_NS / (uint64_t)rate);
 		pthread_mutex_unlock(&weights_lock);
-		fake_send(connection, 200, "", "weights", 7);
+		fake_send_response(connection, 200, "", "weights", 7);
 		kwb_buf_finish(&body);
 		return 200;
 	}
@@ -197,7 +198,8 @@
 		status = 404;
 	}
 	pthread_mutex_unlock(&rows_lock);
-	fake_send(connection, status, "", kwb_buf_text(&body), body.used_bytes);
+	fake_send_response(
+	    connection, status, "", kwb_buf_text(&body), body.used_bytes);
 	kwb_buf_finish(&body);
 	return status;
 }
@@ -215,7 +217,7 @@
 
 	(void)context;
 	kwb_buf_init(&body);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	if (fails(connection, "vms_down")) {
 		kwb_buf_finish(&body);
 		return 0;
@@ -231,7 +233,7 @@
 		next.used_bytes = 0;
 		kwb_buf_add(&next, kwb_buf_text(&body), body.used_bytes);
 		next_ns = kwb_clock_now_ns() + 1 +
-		    (uint64_t)fake_value("vms_lag_ms") * KWB_MS_NS;
+		    (uint64_t)fake_control_get("vms_lag_ms") * KWB_MS_NS;
 	}
 	body.used_bytes = 0;
 	snprintf(headers, sizeof(headers), "ETag: %llu\r\n",
@@ -242,7 +244,7 @@
 		kwb_buf_add(&body, now.used_bytes ? now.data : "[]",
 		    now.used_bytes ? now.used_bytes : 2);
 	pthread_mutex_unlock(&rows_lock);
-	fake_send(
+	fake_send_response(
 	    connection, status, headers, kwb_buf_text(&body), body.used_bytes);
 	kwb_buf_finish(&body);
 	return 200;
@@ -251,9 +253,9 @@
 static bool
 fails(struct mg_connection *connection, const char *part)
 {
-	uint64_t slow_ms = (uint64_t)fake_value("slow_ms");
+	uint64_t slow_ms = (uint64_t)fake_control_get("slow_ms");
 
-	if (fake_value("down") || fake_value(part)) {
+	if (fake_control_get("down") || fake_control_get(part)) {
 		mg_close_connection(connection);
 		return true;
 	}
@@ -292,7 +294,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < sizeof(switches) / sizeof(switches[0]); i++)
-		if (strcmp(switches[i].name, name) == 0)
-			switches[i].value++;
+	for (i = 0; i < sizeof(controls) / sizeof(controls[0]); i++)
+		if (strcmp(controls[i].name, name) == 0)
+			controls[i].value++;
 }
--- a/fakes/fake-relay.c
+++ b/fakes/fake-relay.c
@@ -16,7 +16,7 @@
 #define CHUNK_BYTES 16384
 #define POLL_MS 20
 
-static struct fake_switch switches[] = {
+static struct fake_control controls[] = {
     {"cut", 0}, {"silent", 0}, {"drop_there", 0}, {"drop_back", 0}};
 
 static struct kwb_address target;
@@ -39,9 +39,9 @@
 	if (*fd < 0)
 		return 1;
 	fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7300"), 4,
-	    switches, sizeof(switches) / sizeof(switches[0]));
+	    controls, sizeof(controls) / sizeof(controls[0]));
 	pthread_create(&thread, NULL, relay_run, fd);
-	fake_wait();
+	fake_wait_for_signal();
 	return 0;
 }
 
@@ -55,7 +55,7 @@
 		int *fd = malloc(sizeof(*fd));
 
 		*fd = accept(listener, NULL, NULL);
-		if (*fd < 0 || fake_value("cut")) {
+		if (*fd < 0 || fake_control_get("cut")) {
 			close(*fd);
 			free(fd);
 			continue;
@@ -70,23 +70,23 @@
 pair_run(void *argument)
 {
 	int near = *(int *)argument, far = dial();
-	int64_t silent = fake_value("silent");
+	int64_t silent = fake_control_get("silent");
 	struct pollfd polls[2] = {{near, POLLIN, 0}, {far, POLLIN, 0}};
 	bool open = far >= 0;
 
 	free(argument);
-	while (open && !fake_value("cut")) {
+	while (open && !fake_control_get("cut")) {
 		/* A higher number silences the connections open by then. */
-		if (fake_value("silent") != silent) {
+		if (fake_control_get("silent") != silent) {
 			kwb_clock_sleep_ns(POLL_MS * KWB_MS_NS);
 			continue;
 		}
 		if (poll(polls, 2, POLL_MS) <= 0)
 			continue;
 		if (polls[0].revents != 0)
-			open = pass(near, far, fake_value("drop_there"));
+			open = pass(near, far, fake_control_get("drop_there"));
 		if (open && polls[1].revents != 0)
-			open = pass(far, near, fake_value("drop_back"));
+			open = pass(far, near, fake_control_get("drop_back"));
 	}
 	close(near);
 	if (far >= 0)
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -11,7 +11,7 @@
 
 #define THREADS 128
 
-static struct fake_switch switches[] = {{"work_ms", 0}, {"lose_answers", 0},
+static struct fake_control controls[] = {{"work_ms", 0}, {"lose_answers", 0},
     {"running", 0}, {"most", 0}, {"ran", 0}};
 static struct kwb_buf journal;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -27,11 +27,11 @@
 
 	context =
 	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7200"),
-		THREADS, switches, sizeof(switches) / sizeof(switches[0]));
+		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	mg_set_request_handler(context, "/journal$", on_journal, NULL);
 	mg_set_request_handler(context, "/health$", on_health, NULL);
 	mg_set_request_handler(context, "/**", on_call, NULL);
-	fake_wait();
+	fake_wait_for_signal();
 	return 0;
 }
 
@@ -44,25 +44,26 @@
 	(void)context;
 	kwb_buf_init(&body);
 	kwb_buf_init(&answer);
-	fake_read(connection, &body);
+	fake_read_body(connection, &body);
 	pthread_mutex_lock(&lock);
-	switches[4].value++;
-	if (++switches[2].value > switches[3].value)
-		switches[3].value = (int64_t)switches[2].value;
+	controls[4].value++;
+	if (++controls[2].value > controls[3].value)
+		controls[3].value = (int64_t)controls[2].value;
 	kwb_buf_printf(&journal, "%s %s %s\n", info->request_method,
 	    info->local_uri, kwb_buf_text(&body));
 	pthread_mutex_unlock(&lock);
-	kwb_clock_sleep_ns((uint64_t)fake_value("work_ms") * KWB_MS_NS);
+	kwb_clock_sleep_ns((uint64_t)fake_control_get("work_ms") * KWB_MS_NS);
 	pthread_mutex_lock(&lock);
-	switches[2].value--;
+	controls[2].value--;
 	pthread_mutex_unlock(&lock);
 	kwb_buf_printf(
 	    &answer, "done %s %s", info->local_uri, kwb_buf_text(&body));
-	if (fake_value("lose_answers"))
+	if (fake_control_get("lose_answers"))
 		mg_close_connection(connection);
 	else
-		fake_send(connection, 200, "Content-Type: text/plain\r\n",
-		    answer.data, answer.used_bytes);
+		fake_send_response(connection, 200,
+		    "Content-Type: text/plain\r\n", answer.data,
+		    answer.used_bytes);
 	kwb_buf_finish(&body);
 	kwb_buf_finish(&answer);
 	return 200;
@@ -75,8 +76,8 @@
 
 	(void)context;
 	snprintf(text, sizeof(text), "{\"running\":%lld}",
-	    (long long)fake_value("running"));
-	fake_send(connection, 200, "", text, strlen(text));
+	    (long long)fake_control_get("running"));
+	fake_send_response(connection, 200, "", text, strlen(text));
 	return 200;
 }
 
@@ -90,7 +91,8 @@
 	pthread_mutex_lock(&lock);
 	kwb_buf_add(&copy, kwb_buf_text(&journal), journal.used_bytes);
 	pthread_mutex_unlock(&lock);
-	fake_send(connection, 200, "", kwb_buf_text(&copy), copy.used_bytes);
+	fake_send_response(
+	    connection, 200, "", kwb_buf_text(&copy), copy.used_bytes);
 	kwb_buf_finish(&copy);
 	return 200;
 }
--- a/fakes/fake-trainer.c
+++ b/fakes/fake-trainer.c
@@ -27,7 +27,7 @@
 	    .samples = 4,
 	    .max_tokens = 512,
 	    .weight_version = 1,
-	    .bound_versions = 1,
+	    .staleness_bound_versions = 1,
 	};
 	/* The longest sample alone, at the engine's pace. */
 	uint64_t token_us =
@@ -43,7 +43,7 @@
 		trainer.entries[trainer.entries_count++] = one;
 	for (step = 1; step <= steps; step++) {
 		trainer.deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS;
-		trainer_pull(&trainer, step, &result);
+		trainer_pull_step(&trainer, step, &result);
 		printf(
 		    "step=%" PRIu64 " version=%" PRIu64
 		    " samples=%u doubled=%u wrong=%u stale=%u tokens=%" PRIu64
@@ -54,10 +54,11 @@
 		    result.oldest_version, result.newest_version,
 		    result.received ? (double)result.age_sum / result.received
 				    : 0,
-		    (uint64_t)(result.time_ns / KWB_MS_NS),
-		    result.tokens_longest * token_us / 1000, result.attempts);
+		    (uint64_t)(result.elapsed_ns / KWB_MS_NS),
+		    result.longest_sample_tokens * token_us / 1000,
+		    result.attempts);
 		fflush(stdout);
-		if (!result.complete || result.doubled || result.wrong ||
+		if (!result.is_complete || result.doubled || result.wrong ||
 		    result.stale)
 			code = 1;
 		publish(platform, model, ++trainer.weight_version);
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -8,13 +8,13 @@
 
 #include "fake.h"
 
-static struct fake_switch *switches;
-static unsigned switches_count;
+static struct fake_control *controls;
+static unsigned controls_count;
 
 static int on_control(struct mg_connection *connection, void *context);
 
 struct mg_context *
-fake_start(const char *listen, unsigned threads, struct fake_switch *own,
+fake_start(const char *listen, unsigned threads, struct fake_control *own,
     unsigned own_count)
 {
 	char count[16];
@@ -30,8 +30,8 @@
 	sigaddset(&set, SIGINT);
 	sigaddset(&set, SIGPIPE);
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
-	switches = own;
-	switches_count = own_count;
+	controls = own;
+	controls_count = own_count;
 	snprintf(count, sizeof(count), "%u", threads);
 	mg_init_library(0);
 	context = mg_start(&callbacks, NULL, options);
@@ -55,20 +55,20 @@
 }
 
 int64_t
-fake_value(const char *name)
+fake_control_get(const char *name)
 {
 	unsigned i;
 
-	for (i = 0; i < switches_count; i++)
-		if (strcmp(switches[i].name, name) == 0)
-			return switches[i].value;
+	for (i = 0; i < controls_count; i++)
+		if (strcmp(controls[i].name, name) == 0)
+			return controls[i].value;
 	fprintf(stderr, "no switch %s\n", name);
 	exit(1);
 }
 
 void
-fake_send(struct mg_connection *connection, int status, const char *headers,
-    const void *body, size_t length_bytes)
+fake_send_response(struct mg_connection *connection, int status,
+    const char *headers, const void *body, size_t length_bytes)
 {
 	mg_printf(connection, "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n%s\r\n",
 	    status, mg_get_response_code_text(connection, status), length_bytes,
@@ -77,7 +77,7 @@
 }
 
 void
-fake_read(struct mg_connection *connection, struct kwb_buf *body)
+fake_read_body(struct mg_connection *connection, struct kwb_buf *body)
 {
 	char chunk[8192];
 	int got;
@@ -87,7 +87,7 @@
 }
 
 void
-fake_wait(void)
+fake_wait_for_signal(void)
 {
 	sigset_t set;
 	int number;
@@ -108,8 +108,8 @@
 	unsigned i;
 
 	(void)context;
-	for (i = 0; i < switches_count; i++) {
-		struct fake_switch *found = &switches[i];
+	for (i = 0; i < controls_count; i++) {
+		struct fake_control *found = &controls[i];
 
 		if (length != strlen(found->name) ||
 		    strncmp(query, found->name, length) != 0)
@@ -117,9 +117,9 @@
 		snprintf(text, sizeof(text), "%lld\n", (long long)found->value);
 		if (query[length] == '=')
 			found->value = strtoll(query + length + 1, NULL, 10);
-		fake_send(connection, 200, "", text, strlen(text));
+		fake_send_response(connection, 200, "", text, strlen(text));
 		return 200;
 	}
-	fake_send(connection, 404, "", "", 0);
+	fake_send_response(connection, 404, "", "", 0);
 	return 404;
 }
--- a/fakes/text.c
+++ b/fakes/text.c
@@ -11,22 +11,22 @@
 #define PART_DEVIATION 1.73 /* scales a sum of four uniform parts to 1 */
 
 uint64_t
-fake_sequence(const char *prompt, uint64_t seed)
+fake_sequence_hash(const char *prompt, uint64_t seed)
 {
 	return kwb_hash(prompt, seed);
 }
 
 void
-fake_token(char *text, uint64_t sequence, uint32_t index, uint64_t version)
+fake_token_text(char *text, uint64_t sequence, uint32_t index, uint64_t version)
 {
 	unsigned digits = (unsigned)(kwb_hash("t", sequence + index) & 0xffff);
 
-	snprintf(text, FAKE_TOKEN_BYTES, "%04x.%llu", digits,
+	snprintf(text, FAKE_TOKEN_MAX_BYTES, "%04x.%llu", digits,
 	    (unsigned long long)version);
 }
 
 uint32_t
-fake_length(uint64_t sequence, int64_t median, int64_t spread_percent)
+fake_sequence_length(uint64_t sequence, int64_t median, int64_t spread_percent)
 {
 	double sum = 0, length;
 	unsigned i;
--- a/fakes/trainer.c
+++ b/fakes/trainer.c
@@ -37,7 +37,7 @@
 static uint64_t version_at(json_t *spans, uint32_t index);
 
 void
-trainer_pull(
+trainer_pull_step(
     const struct trainer *trainer, uint64_t step, struct trainer_result *result)
 {
 	uint32_t slots = trainer->groups * trainer->samples;
@@ -69,9 +69,9 @@
 		request.body_bytes = strlen(body);
 		request.timeout_ms =
 		    (uint32_t)kwb_clock_left_ms(trainer->deadline_ns) + 1;
-		if (trainer->resend_ms > 0 &&
-		    request.timeout_ms > trainer->resend_ms)
-			request.timeout_ms = trainer->resend_ms;
+		if (trainer->attempt_timeout_ms > 0 &&
+		    request.timeout_ms > trainer->attempt_timeout_ms)
+			request.timeout_ms = trainer->attempt_timeout_ms;
 		kwb_http_do(&request, &answer);
 		kwb_http_answer_finish(&answer);
 		kwb_buf_finish(&pull.line);
@@ -80,16 +80,16 @@
 			kwb_clock_sleep_ns(RETRY_NS);
 	}
 	result->attempts = pull.attempt;
-	result->time_ns = kwb_clock_now_ns() - begun_ns;
-	result->complete = result->received == slots;
+	result->elapsed_ns = kwb_clock_now_ns() - begun_ns;
+	result->is_complete = result->received == slots;
 	free(pull.got);
 }
 
 void
-trainer_prompt(char *text, size_t room_bytes, const char *plan, uint64_t step,
-    uint32_t group)
+trainer_format_prompt(char *text, size_t capacity_bytes, const char *plan,
+    uint64_t step, uint32_t group)
 {
-	snprintf(text, room_bytes,
+	snprintf(text, capacity_bytes,
 	    "draft for %s step %" PRIu64 " group %u in plain words", plan, step,
 	    group);
 }
@@ -103,7 +103,7 @@
 	uint32_t i;
 
 	for (i = 0; i < trainer->groups; i++) {
-		trainer_prompt(
+		trainer_format_prompt(
 		    prompt, sizeof(prompt), trainer->plan, pull->step, i);
 		json_array_append_new(groups,
 		    json_pack("{s:i, s:s, s:i, s:i, s:i}", "group", (int)i,
@@ -119,7 +119,8 @@
 	root = json_pack("{s:i, s:I, s:i, s:o, s:o}", "attempt",
 	    (int)pull->attempt, "weight_version",
 	    (json_int_t)trainer->weight_version, "staleness_bound",
-	    (int)trainer->bound_versions, "groups", groups, "have", have);
+	    (int)trainer->staleness_bound_versions, "groups", groups, "have",
+	    have);
 	text = json_dumps(root, JSON_COMPACT);
 	json_decref(root);
 	return text;
@@ -178,16 +179,16 @@
 	age = trainer->weight_version > oldest
 	    ? trainer->weight_version - oldest
 	    : 0;
-	if (age > trainer->bound_versions)
+	if (age > trainer->staleness_bound_versions)
 		result->stale++;
 	result->age_sum += age;
-	if (age > result->age_most)
-		result->age_most = age;
+	if (age > result->age_max)
+		result->age_max = age;
 	if (oldest < result->oldest_version)
 		result->oldest_version = oldest;
 	result->tokens += tokens;
-	if (tokens > result->tokens_longest)
-		result->tokens_longest = tokens;
+	if (tokens > result->longest_sample_tokens)
+		result->longest_sample_tokens = tokens;
 }
 
 static bool
@@ -202,22 +203,22 @@
 	json_t *spans = json_object_get(root, "spans"), *token;
 	const char *checksum =
 	    json_string_value(json_object_get(root, "checksum"));
-	char prompt[PROMPT_MAX_BYTES], expected[FAKE_TOKEN_BYTES], sum[32];
+	char prompt[PROMPT_MAX_BYTES], expected[FAKE_TOKEN_MAX_BYTES], sum[32];
 	XXH64_state_t *hash = XXH64_createState();
 	uint64_t sequence, version, length;
 	bool right = true;
 	size_t i;
 
-	trainer_prompt(
+	trainer_format_prompt(
 	    prompt, sizeof(prompt), trainer->plan, pull->step, group);
 	sequence =
-	    fake_sequence(prompt, (uint64_t)group * SEED_SPACING + sample);
+	    fake_sequence_hash(prompt, (uint64_t)group * SEED_SPACING + sample);
 	XXH64_reset(hash, 0);
 	json_array_foreach (tokens, i, token) {
 		const char *text = json_string_value(token);
 
 		version = version_at(spans, (uint32_t)i);
-		fake_token(expected, sequence, (uint32_t)i, version);
+		fake_token_text(expected, sequence, (uint32_t)i, version);
 		if (strcmp(text, expected) != 0)
 			right = false;
 		if (version < *oldest)
@@ -231,8 +232,8 @@
 	if (checksum == NULL || strcmp(sum, checksum) != 0)
 		right = false;
 	if (trainer->length_median > 0) {
-		length = fake_length(
-		    sequence, trainer->length_median, trainer->length_spread);
+		length = fake_sequence_length(sequence, trainer->length_median,
+		    trainer->length_spread_percent);
 		if (length > trainer->max_tokens)
 			length = trainer->max_tokens;
 		if (json_array_size(tokens) != length)
--- a/fakes/trainer.h
+++ b/fakes/trainer.h
@@ -18,11 +18,11 @@
 	uint32_t samples; /* in a group */
 	uint32_t max_tokens;
 	uint64_t weight_version;
-	uint32_t bound_versions;
+	uint32_t staleness_bound_versions;
 	int64_t length_median; /* 0: lengths are not checked */
-	int64_t length_spread;
+	int64_t length_spread_percent;
 	uint64_t deadline_ns;
-	uint32_t resend_ms; /* most time of one attempt; 0 for none */
+	uint32_t attempt_timeout_ms; /* most time of one attempt; 0 for none */
 };
 
 struct trainer_result {
@@ -32,18 +32,18 @@
 	uint32_t stale;
 	uint32_t attempts;
 	uint64_t tokens;
-	uint64_t tokens_longest;
+	uint64_t longest_sample_tokens;
 	uint64_t age_sum; /* versions behind, summed over samples */
-	uint64_t age_most;
+	uint64_t age_max;
 	uint64_t oldest_version;
 	uint64_t newest_version;
-	uint64_t time_ns;
-	bool complete;
+	uint64_t elapsed_ns;
+	bool is_complete;
 };
 
-void trainer_pull(const struct trainer *trainer, uint64_t step,
+void trainer_pull_step(const struct trainer *trainer, uint64_t step,
     struct trainer_result *result);
-void trainer_prompt(char *text, size_t room_bytes, const char *plan,
+void trainer_format_prompt(char *text, size_t capacity_bytes, const char *plan,
     uint64_t step, uint32_t group);
 
 #endif
--- a/tests/session.c
+++ b/tests/session.c
@@ -182,10 +182,10 @@
 	    .samples = 4,
 	    .max_tokens = MAX_TOKENS,
 	    .weight_version = 1,
-	    .bound_versions = BOUND_VERSIONS,
+	    .staleness_bound_versions = BOUND_VERSIONS,
 	    .length_median = LENGTH_MEDIAN,
-	    .length_spread = LENGTH_SPREAD,
-	    .resend_ms = RESEND_MS};
+	    .length_spread_percent = LENGTH_SPREAD,
+	    .attempt_timeout_ms = RESEND_MS};
 	struct trainer_result result;
 	uint64_t step;
 	unsigned i;
@@ -197,16 +197,16 @@
 	for (step = 1; !atomic_load(&session->stopping); step++) {
 		trainer.deadline_ns =
 		    kwb_clock_now_ns() + STEP_DEADLINE_MS * KWB_MS_NS;
-		trainer_pull(&trainer, step, &result);
+		trainer_pull_step(&trainer, step, &result);
 		pthread_mutex_lock(&session->lock);
-		session->steps += result.complete;
-		session->incomplete += !result.complete;
+		session->steps += result.is_complete;
+		session->incomplete += !result.is_complete;
 		session->samples += result.received;
 		session->doubled += result.doubled;
 		session->wrong += result.wrong;
 		session->stale += result.stale;
 		if (session->healed_ns != 0 && session->step_after_ns == 0 &&
-		    result.complete)
+		    result.is_complete)
 			session->step_after_ns =
 			    kwb_clock_now_ns() - session->healed_ns;
 		session->trainer_version = ++trainer.weight_version;
@@ -349,9 +349,10 @@
 static bool
 answer_is_true(const char *text, const char *prompt, uint64_t seed)
 {
-	uint64_t sequence = fake_sequence(prompt, seed);
-	uint32_t length = fake_length(sequence, LENGTH_MEDIAN, LENGTH_SPREAD);
-	char expected[FAKE_TOKEN_BYTES], token[FAKE_TOKEN_BYTES];
+	uint64_t sequence = fake_sequence_hash(prompt, seed);
+	uint32_t length =
+	    fake_sequence_length(sequence, LENGTH_MEDIAN, LENGTH_SPREAD);
+	char expected[FAKE_TOKEN_MAX_BYTES], token[FAKE_TOKEN_MAX_BYTES];
 	unsigned long long version;
 	uint32_t index = 0;
 
@@ -360,7 +361,7 @@
 			"data: {\"token\":\"%31[^\"]\",\"version\":%llu", token,
 			&version) != 2)
 			return false;
-		fake_token(expected, sequence, index++, version);
+		fake_token_text(expected, sequence, index++, version);
 		if (strcmp(token, expected) != 0)
 			return false;
 		text++;
