--- a/bench/measure.c
+++ b/bench/measure.c
@@ -1,5 +1,5 @@
 /*
- * What the measurements share.
+ * Helpers of the measurements.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 static double metric_read(
     struct world *world, const char *name, const char *metric);
-static int by_value(const void *a, const void *b);
+static int compare_doubles(const void *a, const void *b);
 
 void
 usage_read(struct world *world, const char *name, struct usage *usage)
@@ -46,55 +46,60 @@
 }
 
 void
-series_print(const struct series *series, const char *what, const char *per,
-    const char *unit)
+series_print(const struct series *series, const char *title, const char *x_unit,
+    const char *y_unit)
 {
-	double n = series->count, sx = 0, sy = 0, sxx = 0, sxy = 0, slope;
+	double points = series->count, sum_x = 0, sum_y = 0, sum_xx = 0,
+	       sum_xy = 0, slope;
 	unsigned i;
 
-	printf("%-34s", what);
+	printf("%-34s", title);
 	for (i = 0; i < series->count; i++) {
 		printf(" %g:%.4g", series->x[i], series->y[i]);
-		sx += series->x[i];
-		sy += series->y[i];
-		sxx += series->x[i] * series->x[i];
-		sxy += series->x[i] * series->y[i];
+		sum_x += series->x[i];
+		sum_y += series->y[i];
+		sum_xx += series->x[i] * series->x[i];
+		sum_xy += series->x[i] * series->y[i];
 	}
-	slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-	printf(" | %.4g %s per %s, from %.4g\n", slope, unit, per,
-	    (sy - slope * sx) / n);
+	slope = (points * sum_xy - sum_x * sum_y) /
+	    (points * sum_xx - sum_x * sum_x);
+	printf(" | %.4g %s per %s, intercept %.4g\n", slope, y_unit, x_unit,
+	    (sum_y - slope * sum_x) / points);
 	fflush(stdout);
 }
 
 double
-percentile(double *values, unsigned count, double part)
+percentile(double *values, unsigned count, double fraction)
 {
 	if (count == 0)
 		return 0;
-	qsort(values, count, sizeof(*values), by_value);
-	return values[(unsigned)((count - 1) * part)];
+	qsort(values, count, sizeof(*values), compare_doubles);
+	return values[(unsigned)((count - 1) * fraction)];
 }
 
-/* An entry serves its counters itself, an agent at its metrics address. */
+/*
+ * Reads a counter of an entry or agent; 0 if it does not respond. metric is
+ * "\nNAME ", so that no longer name or comment matches.
+ */
 static double
 metric_read(struct world *world, const char *name, const char *metric)
 {
 	char url[128];
 	struct kwb_buf text;
-	const char *at;
+	const char *found;
 	double value = 0;
 
 	world_metrics_url(world, name, url, sizeof(url));
 	kwb_buf_init(&text);
 	if (world_http("GET", url, NULL, NULL, &text, NULL, 2000) == 200 &&
-	    (at = strstr(text.data, metric)) != NULL)
-		value = atof(at + strlen(metric));
+	    (found = strstr(text.data, metric)) != NULL)
+		value = atof(found + strlen(metric));
 	kwb_buf_finish(&text);
 	return value;
 }
 
 static int
-by_value(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a, right = *(const double *)b;
 
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,7 +1,7 @@
 /*
- * Policies under load, at both deployments' sizes of today, against baselines
- * in one run. Time in the fake engines is scaled down by ten: a token takes
- * 3 ms alone. Seeds are fixed.
+ * Compares routing policies under load, at the sizes of both deployments. Times
+ * of the fake engines are a tenth of real ones: a token takes 3 ms for a
+ * sequence that runs alone. Seeds are fixed.
  *
  *   policies                 all scenarios, all policies
  *   policies SCENARIO        one: step, kill, mixed, overload, weights
@@ -20,22 +20,22 @@
 #define BASE_PORT 25000
 #define TOKEN_US 3000
 #define BATCH_US 30
-#define LENGTH_MEDIAN 100
-#define LENGTH_SPREAD 70
+#define LENGTH_MEDIAN 100 /* tokens */
+#define LENGTH_SPREAD 70  /* percent, of the logarithm */
 #define MAX_TOKENS 800
 #define GROUPS 24
-#define SAMPLES 4
+#define SAMPLES 4 /* of each group */
 #define STEPS 6
-#define CALLS_MAX 20000
+#define CALLS_MAX 20000 /* recorded; an eighth for each caller */
 
-/* One of the users' deployments. */
+/* Sizes of one of the users' deployments. */
 struct deployment {
 	const char *name;
 	unsigned engines;
 	unsigned services;
 	unsigned domains;
 	const char *objective;
-	unsigned units; /* of each training plan */
+	unsigned units; /* concurrent requests of each training plan */
 };
 
 static const struct deployment deployments[] = {
@@ -46,16 +46,16 @@
 static const char *const policies[] = {"round_robin", "least", "kwb"};
 static const char *only_policy = "";
 
-/* What one run gave. */
-struct outcome {
-	double idle_ns;
-	double total_ns;
-	double step_ns; /* mean */
-	double bound_ns;
-	double age_sum;
+/* Totals over the steps of one trainer. */
+struct run_result {
+	double idle_ns;	       /* trainer waiting for samples */
+	double total_ns;       /* waiting or training */
+	double step_ns;	       /* mean */
+	double lower_bound_ns; /* mean; see step_lower_bound_ns() */
+	double age_sum;	       /* versions behind, summed over samples */
 	double age_max;
 	double samples;
-	double wrong;
+	double wrong; /* samples that are wrong, doubled or stale */
 	double wasted;
 	double tokens;
 };
@@ -66,16 +66,17 @@
 	const char *model;
 	unsigned units;
 	unsigned steps;
-	unsigned kill_in_step; /* 0 for none */
-	struct outcome outcome;
+	unsigned
+	    kill_in_step; /* step in which engine-2 is killed; 0 for none */
+	struct run_result run_result;
 	pthread_t thread;
 };
 
 struct caller_thread {
 	struct world *world;
-	_Atomic bool *stopping;
-	uint64_t gap_ns;
-	unsigned number;
+	_Atomic bool *is_stopping;
+	uint64_t pause_ns; /* after each request */
+	unsigned index;
 	unsigned answered;
 	unsigned refused;
 	double latency_ms[CALLS_MAX / 8];
@@ -83,29 +84,29 @@
 	pthread_t thread;
 };
 
-static const char *domain_lists(const struct deployment *deployment);
-static void world_make(struct world *world, const struct deployment *deployment,
-    const char *policy);
+static const char *format_lists(const struct deployment *deployment);
+static void start_world(struct world *world,
+    const struct deployment *deployment, const char *policy);
 static void scenario_step(const struct deployment *deployment, bool kill);
 static void scenario_mixed(const struct deployment *deployment);
 static void scenario_overload(const struct deployment *deployment);
 static void scenario_weights(const struct deployment *deployment);
-static void *train(void *argument);
-static void train_step(struct trainer_thread *trainer, uint64_t step,
+static void *trainer_run(void *argument);
+static void pull_step(struct trainer_thread *trainer, uint64_t step,
     uint64_t version, struct trainer_result *result);
-static double step_bound_ns(
+static double step_lower_bound_ns(
     const struct trainer_thread *trainer, uint64_t step);
-static void *kill_one(void *argument);
-static void *call(void *argument);
-static void callers_run(struct world *world, struct caller_thread *callers,
-    unsigned count, uint64_t gap_ns, _Atomic bool *stopping);
+static void *kill_engine(void *argument);
+static void *caller_run(void *argument);
+static void callers_start(struct world *world, struct caller_thread *callers,
+    unsigned count, uint64_t pause_ns, _Atomic bool *is_stopping);
 static void callers_print(struct caller_thread *callers, unsigned count);
-static double cache_share(struct world *world);
+static double cache_hit_ratio(struct world *world);
 
 int
 main(int argc, char **argv)
 {
-	const char *only = argc > 1 ? argv[1] : "";
+	const char *only_scenario = argc > 1 ? argv[1] : "";
 	size_t i;
 
 	if (argc > 2)
@@ -115,21 +116,30 @@
 	signal(SIGPIPE, SIG_IGN);
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	for (i = 0; i < sizeof(deployments) / sizeof(deployments[0]); i++) {
-		if (only[0] == '\0' || strcmp(only, "step") == 0)
+		if (only_scenario[0] == '\0' ||
+		    strcmp(only_scenario, "step") == 0)
 			scenario_step(&deployments[i], false);
-		if (only[0] == '\0' || strcmp(only, "kill") == 0)
+		if (only_scenario[0] == '\0' ||
+		    strcmp(only_scenario, "kill") == 0)
 			scenario_step(&deployments[i], true);
-		if (only[0] == '\0' || strcmp(only, "mixed") == 0)
+		if (only_scenario[0] == '\0' ||
+		    strcmp(only_scenario, "mixed") == 0)
 			scenario_mixed(&deployments[i]);
-		if (only[0] == '\0' || strcmp(only, "overload") == 0)
+		if (only_scenario[0] == '\0' ||
+		    strcmp(only_scenario, "overload") == 0)
 			scenario_overload(&deployments[i]);
-		if (only[0] == '\0' || strcmp(only, "weights") == 0)
+		if (only_scenario[0] == '\0' ||
+		    strcmp(only_scenario, "weights") == 0)
 			scenario_weights(&deployments[i]);
 	}
 	return 0;
 }
 
-/* One trainer alone: time of a step against the clairvoyant bound. */
+/*
+ * One trainer alone: duration of a step against the lower bound, which only a
+ * scheduler that knows all lengths in advance could reach. With kill, an engine
+ * is killed during step 3 and only this step is timed.
+ */
 static void
 scenario_step(const struct deployment *deployment, bool kill)
 {
@@ -143,27 +153,28 @@
 		    .units = deployment->units,
 		    .steps = STEPS,
 		    .kill_in_step = kill ? 3 : 0};
-		struct outcome *outcome = &trainer.outcome;
+		struct run_result *run_result = &trainer.run_result;
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		world_make(&world, deployment, policies[i]);
-		train(&trainer);
+		start_world(&world, deployment, policies[i]);
+		trainer_run(&trainer);
 		printf("%-5s %-9s %-12s step_ms=%.0f bound_ms=%.0f "
 		       "ratio=%.2f idle=%.0f%% age_mean=%.2f age_max=%.0f "
 		       "wasted=%.1f%% cache=%.0f%% wrong=%.0f\n",
 		    kill ? "kill" : "step", deployment->name, policies[i],
-		    outcome->step_ns / 1e6, outcome->bound_ns / 1e6,
-		    outcome->step_ns / outcome->bound_ns,
-		    100 * outcome->idle_ns / outcome->total_ns,
-		    outcome->age_sum / outcome->samples, outcome->age_max,
-		    100 * outcome->wasted / outcome->tokens,
-		    100 * cache_share(&world), outcome->wrong);
+		    run_result->step_ns / 1e6, run_result->lower_bound_ns / 1e6,
+		    run_result->step_ns / run_result->lower_bound_ns,
+		    100 * run_result->idle_ns / run_result->total_ns,
+		    run_result->age_sum / run_result->samples,
+		    run_result->age_max,
+		    100 * run_result->wasted / run_result->tokens,
+		    100 * cache_hit_ratio(&world), run_result->wrong);
 		world_stop(&world);
 	}
 }
 
-/* Two trainers with callers and orders beside them. */
+/* Interactive callers alone, then beside two trainers. */
 static void
 scenario_mixed(const struct deployment *deployment)
 {
@@ -185,52 +196,55 @@
 			.units = deployment->units,
 			.steps = STEPS},
 		};
-		_Atomic bool stopping = false;
-		struct outcome sum = {0};
+		_Atomic bool is_stopping = false;
+		struct run_result sum = {0};
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		world_make(&world, deployment, policies[i]);
-		callers_run(&world, alone, 4, 0, &stopping);
+		start_world(&world, deployment, policies[i]);
+		callers_start(&world, alone, 4, 0, &is_stopping);
 		kwb_clock_sleep_ns(4000 * KWB_MS_NS);
-		stopping = true;
+		is_stopping = true;
 		for (t = 0; t < 4; t++)
 			pthread_join(alone[t].thread, NULL);
-		stopping = false;
-		callers_run(&world, beside, 4, 0, &stopping);
+		is_stopping = false;
+		callers_start(&world, beside, 4, 0, &is_stopping);
 		for (t = 0; t < 2; t++)
-			pthread_create(
-			    &trainers[t].thread, NULL, train, &trainers[t]);
+			pthread_create(&trainers[t].thread, NULL, trainer_run,
+			    &trainers[t]);
 		for (t = 0; t < 2; t++) {
-			struct outcome *outcome = &trainers[t].outcome;
+			struct run_result *run_result = &trainers[t].run_result;
 
 			pthread_join(trainers[t].thread, NULL);
-			sum.idle_ns += outcome->idle_ns;
-			sum.total_ns += outcome->total_ns;
-			sum.age_sum += outcome->age_sum;
-			sum.samples += outcome->samples;
-			sum.wrong += outcome->wrong;
-			if (outcome->age_max > sum.age_max)
-				sum.age_max = outcome->age_max;
-			sum.step_ns += outcome->step_ns / 2;
+			sum.idle_ns += run_result->idle_ns;
+			sum.total_ns += run_result->total_ns;
+			sum.age_sum += run_result->age_sum;
+			sum.samples += run_result->samples;
+			sum.wrong += run_result->wrong;
+			if (run_result->age_max > sum.age_max)
+				sum.age_max = run_result->age_max;
+			sum.step_ns += run_result->step_ns / 2;
 		}
-		stopping = true;
+		is_stopping = true;
 		for (t = 0; t < 4; t++)
 			pthread_join(beside[t].thread, NULL);
 		printf("mixed %-9s %-12s step_ms=%.0f idle=%.0f%% "
 		       "age_mean=%.2f age_max=%.0f cache=%.0f%% wrong=%.0f\n",
 		    deployment->name, policies[i], sum.step_ns / 1e6,
 		    100 * sum.idle_ns / sum.total_ns, sum.age_sum / sum.samples,
-		    sum.age_max, 100 * cache_share(&world), sum.wrong);
+		    sum.age_max, 100 * cache_hit_ratio(&world), sum.wrong);
 		printf("      callers alone:  ");
 		callers_print(alone, 4);
-		printf("      callers beside: ");
+		printf("      with trainers:  ");
 		callers_print(beside, 4);
 		world_stop(&world);
 	}
 }
 
-/* Callers at the plan's capacity, at twice that, and at capacity again. */
+/*
+ * 8 callers, then 40, then 8 again, of a plan that may run 16 requests and
+ * queue 4 at each entry: overload, and recovery from it.
+ */
 static void
 scenario_overload(const struct deployment *deployment)
 {
@@ -239,39 +253,39 @@
 	static struct world world;
 	unsigned phase, t;
 
-	world_make(&world, deployment, "kwb");
+	start_world(&world, deployment, "kwb");
 	for (phase = 0; phase < 3; phase++) {
-		_Atomic bool stopping = false;
-		uint64_t begun_ns = kwb_clock_now_ns();
+		_Atomic bool is_stopping = false;
+		uint64_t started_ns = kwb_clock_now_ns();
 		unsigned answered = 0;
 
-		callers_run(&world, callers, counts[phase], 0, &stopping);
+		callers_start(&world, callers, counts[phase], 0, &is_stopping);
 		kwb_clock_sleep_ns(5000 * KWB_MS_NS);
-		stopping = true;
+		is_stopping = true;
 		for (t = 0; t < counts[phase]; t++) {
 			pthread_join(callers[t].thread, NULL);
 			answered += callers[t].answered;
 		}
 		printf("over  %-9s %2u callers answered_per_s=%.1f ",
 		    deployment->name, counts[phase],
-		    answered * 1e9 / (double)(kwb_clock_now_ns() - begun_ns));
+		    answered * 1e9 / (double)(kwb_clock_now_ns() - started_ns));
 		callers_print(callers, counts[phase]);
 	}
 	world_stop(&world);
 }
 
-/* Time until all upstreams serve a new version. */
+/* Time from publishing a version until all engines serve it. */
 static void
 scenario_weights(const struct deployment *deployment)
 {
 	static struct world world;
 	unsigned round, i, done;
-	uint64_t begun_ns;
+	uint64_t started_ns;
 
-	world_make(&world, deployment, "kwb");
+	start_world(&world, deployment, "kwb");
 	world_set(&world, "platform", "weights_mb_s", 20);
 	for (round = 0; round < 3; round++) {
-		begun_ns = kwb_clock_now_ns();
+		started_ns = kwb_clock_now_ns();
 		world_publish(&world, "m", round + 2);
 		do {
 			char name[WORLD_NAME_BYTES], url[160], mark[64];
@@ -294,64 +308,68 @@
 			}
 			kwb_clock_sleep_ns(5 * KWB_MS_NS);
 		} while (done < deployment->engines &&
-		    kwb_clock_now_ns() < begun_ns + 30000 * KWB_MS_NS);
+		    kwb_clock_now_ns() < started_ns + 30000 * KWB_MS_NS);
 		printf("swap  %-9s all of %u after_ms=%.0f "
 		       "ideal_ms=%u (20 fetches a second, 100 ms a swap)\n",
 		    deployment->name, deployment->engines,
-		    (double)(kwb_clock_now_ns() - begun_ns) / 1e6,
+		    (double)(kwb_clock_now_ns() - started_ns) / 1e6,
 		    deployment->engines * 50 + 100);
 	}
 	world_stop(&world);
 }
 
 /*
- * A trainer one step off: while it trains on a step it pulls the next. It is
- * idle when a pull takes longer than its training, which takes the bound.
+ * Thread: a trainer that pulls the next step while it trains on the last one.
+ * Training is taken to last as long as the step's lower bound, so the trainer
+ * is idle for the time by which a pull exceeds it.
  */
 static void *
-train(void *argument)
+trainer_run(void *argument)
 {
 	struct trainer_thread *trainer = argument;
-	struct outcome *outcome = &trainer->outcome;
+	struct run_result *run_result = &trainer->run_result;
 	struct trainer_result result;
 	pthread_t killer;
 	unsigned step;
 
 	for (step = 1; step <= trainer->steps; step++) {
-		double bound_ns = step_bound_ns(trainer, step);
+		double lower_bound_ns = step_lower_bound_ns(trainer, step);
 		double elapsed_ns;
 
 		if (step == trainer->kill_in_step)
-			pthread_create(&killer, NULL, kill_one, trainer->world);
-		train_step(trainer, step, step, &result);
+			pthread_create(
+			    &killer, NULL, kill_engine, trainer->world);
+		pull_step(trainer, step, step, &result);
 		if (step == trainer->kill_in_step)
 			pthread_join(killer, NULL);
 		elapsed_ns = (double)result.elapsed_ns;
 		world_publish(trainer->world, trainer->model, step + 1);
-		outcome->samples += result.received;
-		outcome->age_sum += (double)result.age_sum;
-		outcome->wrong += result.wrong + result.doubled + result.stale;
-		outcome->tokens += (double)result.tokens;
-		if ((double)result.age_max > outcome->age_max)
-			outcome->age_max = (double)result.age_max;
+		run_result->samples += result.received;
+		run_result->age_sum += (double)result.age_sum;
+		run_result->wrong +=
+		    result.wrong + result.doubled + result.stale;
+		run_result->tokens += (double)result.tokens;
+		if ((double)result.age_max > run_result->age_max)
+			run_result->age_max = (double)result.age_max;
 		if (trainer->kill_in_step != 0 && step != trainer->kill_in_step)
 			continue;
-		outcome->step_ns += elapsed_ns;
-		outcome->bound_ns += bound_ns;
-		outcome->idle_ns +=
-		    elapsed_ns > bound_ns ? elapsed_ns - bound_ns : 0;
-		outcome->total_ns +=
-		    elapsed_ns > bound_ns ? elapsed_ns : bound_ns;
+		run_result->step_ns += elapsed_ns;
+		run_result->lower_bound_ns += lower_bound_ns;
+		run_result->idle_ns += elapsed_ns > lower_bound_ns
+		    ? elapsed_ns - lower_bound_ns
+		    : 0;
+		run_result->total_ns +=
+		    elapsed_ns > lower_bound_ns ? elapsed_ns : lower_bound_ns;
 	}
 	if (trainer->kill_in_step == 0) {
-		outcome->step_ns /= trainer->steps;
-		outcome->bound_ns /= trainer->steps;
+		run_result->step_ns /= trainer->steps;
+		run_result->lower_bound_ns /= trainer->steps;
 	}
 	return NULL;
 }
 
 static void
-train_step(struct trainer_thread *trainer, uint64_t step, uint64_t version,
+pull_step(struct trainer_thread *trainer, uint64_t step, uint64_t version,
     struct trainer_result *result)
 {
 	char urls[2][64];
@@ -373,12 +391,12 @@
 }
 
 /*
- * max(total work / capacity, longest sample): capacity is the plan's units,
- * each at the pace of an engine with its part of them running; the longest
- * runs alone.
+ * The least time that a step can take: max(total tokens / capacity, longest
+ * sample). Capacity is that of all the plan's units, spread evenly over the
+ * engines; the longest sample is taken to run alone on its engine.
  */
 static double
-step_bound_ns(const struct trainer_thread *trainer, uint64_t step)
+step_lower_bound_ns(const struct trainer_thread *trainer, uint64_t step)
 {
 	double total = 0, longest = 0, length, per_engine, pace_ns;
 	unsigned group, sample;
@@ -405,8 +423,9 @@
 	return length > longest ? length : longest;
 }
 
+/* Thread: kills an engine 300 ms into the step. */
 static void *
-kill_one(void *argument)
+kill_engine(void *argument)
 {
 	struct world *world = argument;
 
@@ -415,53 +434,56 @@
 	return NULL;
 }
 
+/* Thread: sends requests to both entries in turn until it is stopped. */
 static void *
-call(void *argument)
+caller_run(void *argument)
 {
 	struct caller_thread *caller = argument;
 	char url[160], body[160], entry[WORLD_NAME_BYTES];
 	unsigned count;
 
-	for (count = 0; !*caller->stopping; count++) {
-		uint64_t begun_ns = kwb_clock_now_ns();
-		double passed_ms;
+	for (count = 0; !*caller->is_stopping; count++) {
+		uint64_t started_ns = kwb_clock_now_ns();
+		double elapsed_ms;
 		int status;
 
 		snprintf(entry, sizeof(entry), "entry-%u",
-		    (caller->number + count) % 2 + 1);
+		    (caller->index + count) % 2 + 1);
 		world_url(caller->world, entry, url, 64);
 		strcat(url, "/v1/plans/search/completions");
 		snprintf(body, sizeof(body),
 		    "{\"prompt\":\"search %u\",\"seed\":%u,\"max_tokens\":40,"
 		    "\"stream\":true}",
-		    count % 32, caller->number * 1000 + count);
+		    count % 32, caller->index * 1000 + count);
 		status = world_http("POST", url, "X-Kwb-Timeout-Ms: 2000", body,
 		    NULL, NULL, 5000);
-		passed_ms = (double)(kwb_clock_now_ns() - begun_ns) / 1e6;
+		elapsed_ms = (double)(kwb_clock_now_ns() - started_ns) / 1e6;
 		if (status == 200 && caller->answered < CALLS_MAX / 8)
-			caller->latency_ms[caller->answered++] = passed_ms;
+			caller->latency_ms[caller->answered++] = elapsed_ms;
 		if (status != 200 && caller->refused < CALLS_MAX / 8)
-			caller->refusal_ms[caller->refused++] = passed_ms;
+			caller->refusal_ms[caller->refused++] = elapsed_ms;
 		if (status != 200)
 			kwb_clock_sleep_ns(50 * KWB_MS_NS);
-		kwb_clock_sleep_ns(caller->gap_ns);
+		kwb_clock_sleep_ns(caller->pause_ns);
 	}
 	return NULL;
 }
 
+/* Starts callers that run until *is_stopping. */
 static void
-callers_run(struct world *world, struct caller_thread *callers, unsigned count,
-    uint64_t gap_ns, _Atomic bool *stopping)
+callers_start(struct world *world, struct caller_thread *callers,
+    unsigned count, uint64_t pause_ns, _Atomic bool *is_stopping)
 {
 	unsigned i;
 
 	for (i = 0; i < count; i++) {
 		memset(&callers[i], 0, sizeof(callers[i]));
 		callers[i].world = world;
-		callers[i].stopping = stopping;
-		callers[i].gap_ns = gap_ns;
-		callers[i].number = i;
-		pthread_create(&callers[i].thread, NULL, call, &callers[i]);
+		callers[i].is_stopping = is_stopping;
+		callers[i].pause_ns = pause_ns;
+		callers[i].index = i;
+		pthread_create(
+		    &callers[i].thread, NULL, caller_run, &callers[i]);
 	}
 }
 
@@ -485,8 +507,9 @@
 	    percentile(refusal, refused, 0.99));
 }
 
+/* Hits of the prompt caches of all running engines, from 0 to 1. */
 static double
-cache_share(struct world *world)
+cache_hit_ratio(struct world *world)
 {
 	double hits = 0, misses = 0;
 	char name[WORLD_NAME_BYTES];
@@ -502,8 +525,9 @@
 	return hits + misses > 0 ? hits / (hits + misses) : 0;
 }
 
+/* Starts the deployment; exits the process on failure. */
 static void
-world_make(struct world *world, const struct deployment *deployment,
+start_world(struct world *world, const struct deployment *deployment,
     const char *policy)
 {
 	char extra[256];
@@ -521,18 +545,18 @@
 	    "--token_us %d --batch_us %d --prefill_us 300 --length_median %d "
 	    "--length_spread %d",
 	    TOKEN_US, BATCH_US, LENGTH_MEDIAN, LENGTH_SPREAD);
-	shape.lists = domain_lists(deployment);
+	shape.lists = format_lists(deployment);
 	if (world_start(world, &shape, BASE_PORT) == 0) {
 		world_publish(world, "n", 1);
 		return;
 	}
-	fprintf(stderr, "the world did not start\n");
+	fprintf(stderr, "the test deployment did not start\n");
 	world_stop(world);
 	exit(1);
 }
 
 static const char *
-domain_lists(const struct deployment *deployment)
+format_lists(const struct deployment *deployment)
 {
 	static char text[2048];
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,8 +1,8 @@
 /*
- * Slopes for docs/CAPACITY.md: what each role costs per connection, request,
- * token, stream, change and plan; at least four points each.
+ * Measures what each role costs per connection, request, token, stream, change
+ * and plan: the slopes in docs/CAPACITY.md, each over at least four points.
  *
- *   slopes            all
+ *   slopes            all measurements
  *   slopes NAME       one: links, requests, tokens, streams, changes, plans,
  *                     platform, lists, overhead
  */
@@ -14,19 +14,19 @@
 #include "measure.h"
 
 #define BASE_PORT 24000
-#define IDLE_NS (6000 * KWB_MS_NS)
+#define IDLE_PERIOD_NS (6000 * KWB_MS_NS)
 #define CALLERS 8
 
 static const char *const engine_args =
     "--token_us 300 --batch_us 1 --prefill_us 1 --length_median 4000 "
     "--length_spread 1";
 
-/* Callers that send requests until a number is reached. */
-struct load {
+/* Requests that several callers send until the given number is reached. */
+struct request_load {
 	struct world *world;
 	unsigned requests;
 	unsigned max_tokens;
-	_Atomic unsigned next;
+	_Atomic unsigned next; /* number of the next request */
 };
 
 static void slope_links(void);
@@ -38,13 +38,13 @@
 static void slope_platform(void);
 static void slope_lists(void);
 static void slope_overhead(void);
-static void world_make(
+static void start_world(
     struct world *world, unsigned entries, unsigned engines, unsigned plans);
-static void lists_make(struct kwb_buf *text, unsigned plans);
-static void load_run(struct world *world, unsigned callers, unsigned requests,
-    unsigned max_tokens);
-static void *load_caller(void *argument);
-static double idle_cpu(
+static void format_lists(struct kwb_buf *text, unsigned plans);
+static void run_requests(struct world *world, unsigned callers,
+    unsigned requests, unsigned max_tokens);
+static void *caller_run(void *argument);
+static double measure_idle(
     struct world *world, const char *name, struct usage *idle);
 
 int
@@ -75,7 +75,10 @@
 	return 0;
 }
 
-/* An idle entry by its agents; an idle agent by its entries. */
+/*
+ * Cost of connections: an idle entry by its number of agents, an idle agent by
+ * its number of entries.
+ */
 static void
 slope_links(void)
 {
@@ -87,9 +90,9 @@
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		world_make(&world, 1, agents[i], 2);
+		start_world(&world, 1, agents[i], 2);
 		series_add(
-		    &cpu, agents[i], idle_cpu(&world, "entry-1", &usage));
+		    &cpu, agents[i], measure_idle(&world, "entry-1", &usage));
 		series_add(&rss, agents[i], usage.rss_kb);
 		series_add(&bytes, agents[i], usage.control_bytes);
 		world_stop(&world);
@@ -101,8 +104,9 @@
 	memset(&rss, 0, sizeof(rss));
 	memset(&bytes, 0, sizeof(bytes));
 	for (i = 0; i < 4; i++) {
-		world_make(&world, entries[i], 2, 2);
-		series_add(&cpu, entries[i], idle_cpu(&world, "llm-1", &usage));
+		start_world(&world, entries[i], 2, 2);
+		series_add(
+		    &cpu, entries[i], measure_idle(&world, "llm-1", &usage));
 		series_add(&rss, entries[i], usage.rss_kb);
 		series_add(&bytes, entries[i], usage.control_bytes);
 		world_stop(&world);
@@ -112,6 +116,7 @@
 	series_print(&bytes, "agent idle, control sent", "entry", "bytes/s");
 }
 
+/* Cost of requests that are answered with a single token. */
 static void
 slope_requests(void)
 {
@@ -119,18 +124,18 @@
 	struct series entry = {0}, agent = {0}, rate = {0};
 	struct usage before, after, agent_before, agent_after;
 	static struct world world;
-	uint64_t begun_ns;
+	uint64_t started_ns;
 	unsigned i;
 
-	world_make(&world, 1, 1, 2);
+	start_world(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
 		usage_read(&world, "entry-1", &before);
 		usage_read(&world, "llm-1", &agent_before);
-		begun_ns = kwb_clock_now_ns();
-		load_run(&world, CALLERS, requests[i], 1);
+		started_ns = kwb_clock_now_ns();
+		run_requests(&world, CALLERS, requests[i], 1);
 		series_add(&rate, requests[i],
 		    requests[i] * 1e9 /
-			(double)(kwb_clock_now_ns() - begun_ns));
+			(double)(kwb_clock_now_ns() - started_ns));
 		usage_read(&world, "entry-1", &after);
 		usage_read(&world, "llm-1", &agent_after);
 		series_add(&entry, requests[i], after.cpu_ms - before.cpu_ms);
@@ -143,6 +148,7 @@
 	world_stop(&world);
 }
 
+/* Cost of streamed tokens. */
 static void
 slope_tokens(void)
 {
@@ -152,11 +158,11 @@
 	static struct world world;
 	unsigned i;
 
-	world_make(&world, 1, 1, 2);
+	start_world(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
 		usage_read(&world, "entry-1", &before);
 		usage_read(&world, "llm-1", &agent_before);
-		load_run(&world, CALLERS, 64, tokens[i]);
+		run_requests(&world, CALLERS, 64, tokens[i]);
 		usage_read(&world, "entry-1", &after);
 		usage_read(&world, "llm-1", &agent_after);
 		series_add(&entry, 64.0 * tokens[i],
@@ -169,7 +175,7 @@
 	world_stop(&world);
 }
 
-/* Memory while streams are open. */
+/* Memory by the number of open streams. */
 static void
 slope_streams(void)
 {
@@ -181,12 +187,14 @@
 
 	for (i = 0; i < 4; i++) {
 		pthread_t threads[64];
-		struct load load = {&world, streams[i], 4000, 0};
+		struct request_load request_load = {
+		    &world, streams[i], 4000, 0};
 		unsigned j;
 
-		world_make(&world, 1, 1, 2);
+		start_world(&world, 1, 1, 2);
 		for (j = 0; j < streams[i]; j++)
-			pthread_create(&threads[j], NULL, load_caller, &load);
+			pthread_create(
+			    &threads[j], NULL, caller_run, &request_load);
 		kwb_clock_sleep_ns(1000 * KWB_MS_NS);
 		usage_read(&world, "entry-1", &usage);
 		series_add(&entry, streams[i], usage.rss_kb);
@@ -200,6 +208,10 @@
 	series_print(&agent, "agent, open streams, memory", "stream", "KB");
 }
 
+/*
+ * Cost of changes to the lists, less what the processes use when idle for the
+ * same time.
+ */
 static void
 slope_changes(void)
 {
@@ -210,35 +222,35 @@
 	char assignment[32];
 	const char *arguments[] = {
 	    "--wait-ms", "0", "edit", "allowance", "search", assignment, NULL};
-	double idle, idle_bytes, agent_idle, passed_s;
-	uint64_t begun_ns;
+	double idle, idle_bytes, agent_idle, elapsed_s;
+	uint64_t started_ns;
 	unsigned i, j;
 
-	world_make(&world, 1, 4, 16);
-	idle = idle_cpu(&world, "entry-1", &before);
+	start_world(&world, 1, 4, 16);
+	idle = measure_idle(&world, "entry-1", &before);
 	idle_bytes = before.control_bytes;
-	agent_idle = idle_cpu(&world, "llm-1", &before);
+	agent_idle = measure_idle(&world, "llm-1", &before);
 	for (i = 0; i < 4; i++) {
 		usage_read(&world, "entry-1", &before);
 		usage_read(&world, "llm-1", &agent_before);
-		begun_ns = kwb_clock_now_ns();
+		started_ns = kwb_clock_now_ns();
 		for (j = 0; j < changes[i]; j++) {
 			snprintf(assignment, sizeof(assignment), "queue=%u",
 			    100 + i * 100 + j);
 			world_ctl(&world, arguments, "/dev/null");
 		}
 		kwb_clock_sleep_ns(1500 * KWB_MS_NS);
-		passed_s = (double)(kwb_clock_now_ns() - begun_ns) / 1e9;
+		elapsed_s = (double)(kwb_clock_now_ns() - started_ns) / 1e9;
 		usage_read(&world, "entry-1", &after);
 		usage_read(&world, "llm-1", &agent_after);
 		series_add(&cpu, changes[i],
-		    after.cpu_ms - before.cpu_ms - idle * 10 * passed_s);
+		    after.cpu_ms - before.cpu_ms - idle * 10 * elapsed_s);
 		series_add(&agent_cpu, changes[i],
 		    agent_after.cpu_ms - agent_before.cpu_ms -
-			agent_idle * 10 * passed_s);
+			agent_idle * 10 * elapsed_s);
 		series_add(&bytes, changes[i],
 		    after.control_bytes - before.control_bytes -
-			idle_bytes * passed_s);
+			idle_bytes * elapsed_s);
 	}
 	series_print(&cpu, "entry, changes, 16 plans", "change", "ms");
 	series_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
@@ -247,6 +259,7 @@
 	world_stop(&world);
 }
 
+/* Cost of plans without requests. */
 static void
 slope_plans(void)
 {
@@ -258,12 +271,13 @@
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		world_make(&world, 1, 4, plans[i]);
-		series_add(&cpu, plans[i], idle_cpu(&world, "entry-1", &usage));
+		start_world(&world, 1, 4, plans[i]);
+		series_add(
+		    &cpu, plans[i], measure_idle(&world, "entry-1", &usage));
 		series_add(&rss, plans[i], usage.rss_kb);
 		series_add(&bytes, plans[i], usage.control_bytes);
-		series_add(
-		    &agent_cpu, plans[i], idle_cpu(&world, "llm-1", &usage));
+		series_add(&agent_cpu, plans[i],
+		    measure_idle(&world, "llm-1", &usage));
 		series_add(&agent_bytes, plans[i], usage.control_bytes);
 		world_stop(&world);
 	}
@@ -275,7 +289,7 @@
 	    &agent_bytes, "agent idle, control sent", "plan", "bytes/s");
 }
 
-/* Reads and writes that the platform sees, by entries and by agents. */
+/* Table reads and writes a second, by number of entries and of agents. */
 static void
 slope_platform(void)
 {
@@ -284,16 +298,16 @@
 	struct series reads = {0}, writes = {0}, agent_reads = {0};
 	static struct world world;
 	int64_t read, written;
-	double seconds = IDLE_NS / 1e9;
+	double seconds = IDLE_PERIOD_NS / 1e9;
 	unsigned i, pass;
 
 	for (pass = 0; pass < 2; pass++)
 		for (i = 0; i < 4; i++) {
-			world_make(&world, pass ? 1 : entries[i],
+			start_world(&world, pass ? 1 : entries[i],
 			    pass ? agents[i] : 2, 2);
 			read = world_get(&world, "platform", "reads");
 			written = world_get(&world, "platform", "writes");
-			kwb_clock_sleep_ns(IDLE_NS);
+			kwb_clock_sleep_ns(IDLE_PERIOD_NS);
 			read = world_get(&world, "platform", "reads") - read;
 			written =
 			    world_get(&world, "platform", "writes") - written;
@@ -313,7 +327,7 @@
 	series_print(&agent_reads, "table reads", "agent", "1/s");
 }
 
-/* Functions whose input grows with the fleet. */
+/* Duration of the functions whose input grows with the number of VMs. */
 static void
 slope_lists(void)
 {
@@ -322,7 +336,7 @@
 	static struct kwb_vms vms;
 	struct series subset = {0}, home = {0}, share = {0};
 	uint32_t chosen[KWB_PEERS_MAX];
-	uint64_t begun_ns;
+	uint64_t started_ns;
 	unsigned i, j;
 
 	for (i = 0; i < 4; i++) {
@@ -337,30 +351,33 @@
 			strcpy(vm->pool, "llm");
 			strcpy(members[j].vm, vm->vm);
 		}
-		begun_ns = kwb_clock_now_ns();
+		started_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
 			kwb_subset_select(
 			    &vms, "entry-1", "fd-1", 24, chosen, KWB_PEERS_MAX);
 		series_add(&subset, sizes[i],
-		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
-		begun_ns = kwb_clock_now_ns();
+		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
+		started_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
 			kwb_holders_select(
 			    &vms, "llm", "quotes", 256, chosen, KWB_PEERS_MAX);
 		series_add(&home, sizes[i],
-		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
-		begun_ns = kwb_clock_now_ns();
+		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
+		started_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
 			kwb_share_next(2048, "quotes", members, sizes[i], 1, 0);
 		series_add(&share, sizes[i],
-		    (double)(kwb_clock_now_ns() - begun_ns) / 1e4);
+		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
 	}
 	series_print(&subset, "entry, subset of a changed list", "VM", "us");
 	series_print(&home, "entry, homes of a plan", "VM", "us");
 	series_print(&share, "agent, share of a plan", "VM", "us");
 }
 
-/* What entry and agent add to a request, asked directly in turn with it. */
+/*
+ * Latency that entry and agent add: each request is sent to the engine directly
+ * and then through both, so that both see the same conditions.
+ */
 static void
 slope_overhead(void)
 {
@@ -369,24 +386,24 @@
 	char engine[160], entry[160];
 	unsigned i;
 
-	world_make(&world, 1, 1, 2);
+	start_world(&world, 1, 1, 2);
 	world_url(&world, "engine-1", engine, 64);
 	strcat(engine, "/v1/completions");
 	world_url(&world, "entry-1", entry, 64);
 	strcat(entry, "/v1/plans/search/completions");
 	for (i = 0; i < 2000; i++) {
 		char body[160];
-		uint64_t begun_ns = kwb_clock_now_ns();
+		uint64_t started_ns = kwb_clock_now_ns();
 
 		snprintf(body, sizeof(body),
 		    "{\"model\":\"c\",\"prompt\":\"find it\",\"seed\":%u,"
 		    "\"max_tokens\":10,\"stream\":true}",
 		    i);
 		world_http("POST", engine, NULL, body, NULL, NULL, 5000);
-		direct[i] = (double)(kwb_clock_now_ns() - begun_ns) / 1e6;
-		begun_ns = kwb_clock_now_ns();
+		direct[i] = (double)(kwb_clock_now_ns() - started_ns) / 1e6;
+		started_ns = kwb_clock_now_ns();
 		world_http("POST", entry, NULL, body, NULL, NULL, 5000);
-		through[i] = (double)(kwb_clock_now_ns() - begun_ns) / 1e6;
+		through[i] = (double)(kwb_clock_now_ns() - started_ns) / 1e6;
 	}
 	printf("answers of 10 tokens, 2000 in turn: direct p50 %.2f p99 %.2f "
 	       "ms, through entry and agent p50 %.2f p99 %.2f ms\n",
@@ -395,8 +412,9 @@
 	world_stop(&world);
 }
 
+/* Starts a deployment with the given sizes; exits the process on failure. */
 static void
-world_make(
+start_world(
     struct world *world, unsigned entries, unsigned engines, unsigned plans)
 {
 	static struct kwb_buf lists;
@@ -409,17 +427,18 @@
 	    .engine_args = engine_args};
 
 	lists.used_bytes = 0;
-	lists_make(&lists, plans);
+	format_lists(&lists, plans);
 	shape.lists = lists.data;
 	if (world_start(world, &shape, BASE_PORT) == 0)
 		return;
-	fprintf(stderr, "the world did not start\n");
+	fprintf(stderr, "the test deployment did not start\n");
 	world_stop(world);
 	exit(1);
 }
 
+/* Prints one interactive plan, and training plans up to the given number. */
 static void
-lists_make(struct kwb_buf *text, unsigned plans)
+format_lists(struct kwb_buf *text, unsigned plans)
 {
 	unsigned i;
 
@@ -440,48 +459,53 @@
 		    "  - {plan: train-%u, concurrent: 48, queue: 10}\n", i);
 }
 
+/* Sends all requests from concurrent callers and waits for them. */
 static void
-load_run(struct world *world, unsigned callers, unsigned requests,
+run_requests(struct world *world, unsigned callers, unsigned requests,
     unsigned max_tokens)
 {
-	struct load load = {world, requests, max_tokens, 0};
+	struct request_load request_load = {world, requests, max_tokens, 0};
 	pthread_t threads[64];
 	unsigned i;
 
 	for (i = 0; i < callers; i++)
-		pthread_create(&threads[i], NULL, load_caller, &load);
+		pthread_create(&threads[i], NULL, caller_run, &request_load);
 	for (i = 0; i < callers; i++)
 		pthread_join(threads[i], NULL);
 }
 
+/* Thread: a caller that sends one request after the other. */
 static void *
-load_caller(void *argument)
+caller_run(void *argument)
 {
-	struct load *load = argument;
+	struct request_load *request_load = argument;
 	char url[160], body[128];
 	unsigned number;
 
-	world_url(load->world, "entry-1", url, sizeof(url));
+	world_url(request_load->world, "entry-1", url, sizeof(url));
 	strcat(url, "/v1/plans/search/completions");
-	while ((number = load->next++) < load->requests) {
+	while ((number = request_load->next++) < request_load->requests) {
 		snprintf(body, sizeof(body),
 		    "{\"prompt\":\"find it\",\"seed\":%u,\"max_tokens\":%u,"
 		    "\"stream\":true}",
-		    number, load->max_tokens);
+		    number, request_load->max_tokens);
 		world_http("POST", url, NULL, body, NULL, NULL, 30000);
 	}
 	return NULL;
 }
 
-/* Percent of a core over a while without load; control bytes a second. */
+/*
+ * Returns percent of a core used over IDLE_PERIOD_NS without requests. idle
+ * gets the usage at its end, with control_bytes per second.
+ */
 static double
-idle_cpu(struct world *world, const char *name, struct usage *idle)
+measure_idle(struct world *world, const char *name, struct usage *idle)
 {
 	struct usage before;
-	double seconds = IDLE_NS / 1e9;
+	double seconds = IDLE_PERIOD_NS / 1e9;
 
 	usage_read(world, name, &before);
-	kwb_clock_sleep_ns(IDLE_NS);
+	kwb_clock_sleep_ns(IDLE_PERIOD_NS);
 	usage_read(world, name, idle);
 	idle->control_bytes =
 	    (idle->control_bytes - before.control_bytes) / seconds;
--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -1,16 +1,18 @@
 /*
- * Stand-in for a model engine: continuous batching in steps, prefix cache in
- * limited memory, priorities, resume, cancel by disconnect, load with a lag,
- * orders to load versions with or without fencing.
+ * Stand-in for a model engine: continuous batching, a cache of prompts,
+ * priorities, resuming, cancelling (by POST /cancel or by disconnecting), load
+ * reports that can lag, and orders to load a weight version, with or without
+ * checking fencing tokens.
  *
  * Token i of a sequence is "HHHH.V": four hexadecimal digits hashed from
- * prompt, seed and i, then the version that truly made it, so that whoever
- * reads a sample can check what the system says of it. A sequence's length is
- * long-tailed and depends on prompt and seed alone.
+ * prompt, seed and i, then the weight version that generated the token. A
+ * reader of a sample can so check the versions that the system reports. The
+ * length of a sequence has a long-tailed distribution and depends on prompt and
+ * seed alone.
  *
- * A step makes one token of each running sequence and takes token_us +
- * batch_us for each of them; a new sequence adds prefill_us for each prompt
- * word that is not in the cache.
+ * A step generates one token for each running sequence and takes token_us, plus
+ * batch_us for each token. A sequence that joins the batch adds prefill_us for
+ * each word of its prompt and each resumed token, unless its prompt is cached.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,39 +25,44 @@
 #include "fake.h"
 #include "text.h"
 
-#define THREADS 192
+#define SERVER_THREADS 192
 #define MODELS_MAX 8
-#define CACHE_MAX 64
+#define CACHE_ENTRIES_MAX 64
 #define PROMPT_KEY_BYTES 32
 
 struct model {
 	char name[KWB_NAME_MAX_BYTES];
-	uint64_t version;
-	uint64_t fence;
-	bool swapping;
-	unsigned running;
+	uint64_t version;	/* 0 after a failed swap: generates nothing */
+	uint64_t fencing_token; /* highest of all orders */
+	bool is_swapping;
+	unsigned running_count; /* sequences in the batch */
 };
 
+/* A request being served; lives on the stack of its HTTP thread. */
 struct sequence {
 	TAILQ_ENTRY(sequence) next;
-	pthread_cond_t ready;
+	pthread_cond_t token_ready;
 	struct model *model;
-	uint64_t hash;
-	uint32_t made; /* next index to make */
-	uint32_t length;
-	uint32_t prompt_words;
-	int priority;
-	uint64_t cache_key;
-	char text[FAKE_TOKEN_MAX_BYTES]; /* token waiting to be written */
-	uint64_t version;
-	bool full;
-	bool running;
-	bool cancelled;
-	char name[KWB_KEY_MAX_BYTES];
+	uint64_t hash;	     /* of prompt and seed */
+	uint32_t next_index; /* of the next token to write */
+	uint32_t length_tokens;
+	uint32_t prompt_words;		  /* including resumed tokens */
+	int priority;			  /* higher is admitted first */
+	uint64_t cache_key;		  /* hash of the prompt */
+	char token[FAKE_TOKEN_MAX_BYTES]; /* generated, not yet written */
+	uint64_t token_version;
+	bool has_token;	 /* token holds one to be written */
+	bool is_running; /* in the batch, occupies a slot */
+	bool is_cancelled;
+	char request_name[KWB_KEY_MAX_BYTES];
 };
 
 TAILQ_HEAD(sequence_list, sequence);
 
+/*
+ * Indexes of controls: settings, each also a flag of the program, then counters
+ * from RUNNING on.
+ */
 enum {
 	TOKEN_US,
 	BATCH_US,
@@ -78,13 +85,19 @@
 	STARTED
 };
 
+/*
+ * fail_swap is the number of coming swaps that fail; stuck stops generating;
+ * no_versions leaves versions out of the stream; ignore_fence obeys orders with
+ * an outdated fencing token, too. most is the highest number of running
+ * sequences so far, orders_old counts orders with an outdated fencing token.
+ */
 static struct fake_control controls[] = {
     [TOKEN_US] = {"token_us", 2000},
     [BATCH_US] = {"batch_us", 20},
     [PREFILL_US] = {"prefill_us", 20},
     [SLOTS] = {"slots", 16},
     [LENGTH_MEDIAN] = {"length_median", 60},
-    [LENGTH_SPREAD] = {"length_spread", 60}, /* percent, log scale */
+    [LENGTH_SPREAD] = {"length_spread", 60}, /* percent, of the logarithm */
     [SWAP_MS] = {"swap_ms", 100},
     [FAIL_SWAP] = {"fail_swap", 0},
     [IGNORE_FENCE] = {"ignore_fence", 0},
@@ -103,18 +116,18 @@
 static struct sequence_list sequences = TAILQ_HEAD_INITIALIZER(sequences);
 static struct model models[MODELS_MAX];
 static unsigned models_count;
-static uint64_t cache[CACHE_MAX];
-static unsigned cache_next;
-static const char *platform;
+static uint64_t cache[CACHE_ENTRIES_MAX]; /* ring of prompt hashes */
+static unsigned cache_next_slot;
+static const char *platform_url; /* empty: orders fetch no weights */
 
 static int on_completions(struct mg_connection *connection, void *context);
 static int on_load(struct mg_connection *connection, void *context);
 static int on_orders(struct mg_connection *connection, void *context);
 static void *engine_run(void *argument);
 static uint64_t engine_step(void);
-static struct model *model_find(const char *name, bool make);
-static bool cache_touch(uint64_t key);
-static unsigned sequence_line(
+static struct model *model_find(const char *name, bool create);
+static bool cache_find_or_add(uint64_t key);
+static unsigned sequence_format_event(
     const struct sequence *sequence, char *line, size_t capacity_bytes);
 static void sequence_stop(struct sequence *sequence);
 static int on_cancel(struct mg_connection *connection, void *context);
@@ -129,7 +142,7 @@
 	unsigned i;
 	pthread_t thread;
 
-	platform = fake_option(argc, argv, "--platform", "");
+	platform_url = fake_option(argc, argv, "--platform", "");
 	for (i = 0; i < sizeof(controls) / sizeof(controls[0]); i++) {
 		char option[64];
 		const char *value;
@@ -143,9 +156,9 @@
 	while ((name = strsep(&rest, ",")) != NULL)
 		model_find(name, true)->version = 1;
 	kwb_http_init();
-	context =
-	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7100"),
-		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
+	context = fake_start(
+	    fake_option(argc, argv, "--listen", "127.0.0.1:7100"),
+	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	pthread_create(&thread, NULL, engine_run, NULL);
 	mg_set_request_handler(
 	    context, "/v1/completions$", on_completions, NULL);
@@ -166,7 +179,7 @@
 	int64_t max_tokens;
 	char line[128];
 	unsigned length;
-	bool going = true;
+	bool is_connected = true;
 
 	(void)context;
 	kwb_buf_init(&body);
@@ -186,49 +199,50 @@
 	sequence.hash = fake_sequence_hash(prompt,
 	    (uint64_t)json_integer_value(json_object_get(root, "seed")));
 	sequence.cache_key = kwb_hash(prompt, 0);
-	sequence.made =
+	sequence.next_index =
 	    (uint32_t)json_array_size(json_object_get(root, "resume"));
-	sequence.length = fake_sequence_length(sequence.hash,
+	sequence.length_tokens = fake_sequence_length(sequence.hash,
 	    controls[LENGTH_MEDIAN].value, controls[LENGTH_SPREAD].value);
 	max_tokens = json_integer_value(json_object_get(root, "max_tokens"));
-	if (max_tokens > 0 && sequence.length > max_tokens)
-		sequence.length = (uint32_t)max_tokens;
+	if (max_tokens > 0 && sequence.length_tokens > max_tokens)
+		sequence.length_tokens = (uint32_t)max_tokens;
 	sequence.priority =
 	    (int)json_integer_value(json_object_get(root, "priority"));
 	name = json_string_value(json_object_get(root, "request"));
-	kwb_text_copy(sequence.name, sizeof(sequence.name), name ? name : "");
+	kwb_text_copy(sequence.request_name, sizeof(sequence.request_name),
+	    name ? name : "");
 	for (c = prompt; *c != '\0'; c++)
 		sequence.prompt_words += *c == ' ';
-	sequence.prompt_words += 1 + sequence.made;
+	sequence.prompt_words += 1 + sequence.next_index;
 	json_decref(root);
-	kwb_cond_init(&sequence.ready);
+	kwb_cond_init(&sequence.token_ready);
 	mg_send_http_ok(connection, "text/event-stream", -1);
 
 	pthread_mutex_lock(&lock);
 	controls[STARTED].value++;
 	TAILQ_INSERT_TAIL(&sequences, &sequence, next);
-	while (
-	    going && !sequence.cancelled && sequence.made < sequence.length) {
-		/* Wakes now and then to see whether the client has gone. */
-		kwb_cond_wait_until(&sequence.ready, &lock,
+	while (is_connected && !sequence.is_cancelled &&
+	    sequence.next_index < sequence.length_tokens) {
+		/* The keep-alive comment detects a client that disconnected. */
+		kwb_cond_wait_until(&sequence.token_ready, &lock,
 		    kwb_clock_now_ns() + 200 * KWB_MS_NS);
-		if (!sequence.full) {
+		if (!sequence.has_token) {
 			pthread_mutex_unlock(&lock);
-			going = mg_send_chunk(connection, ":\n", 2) >= 0;
+			is_connected = mg_send_chunk(connection, ":\n", 2) >= 0;
 			pthread_mutex_lock(&lock);
 			continue;
 		}
-		length = sequence_line(&sequence, line, sizeof(line));
-		sequence.full = false;
-		sequence.made++;
+		length = sequence_format_event(&sequence, line, sizeof(line));
+		sequence.has_token = false;
+		sequence.next_index++;
 		pthread_mutex_unlock(&lock);
-		going = mg_send_chunk(connection, line, length) >= 0;
+		is_connected = mg_send_chunk(connection, line, length) >= 0;
 		pthread_mutex_lock(&lock);
 	}
 	TAILQ_REMOVE(&sequences, &sequence, next);
 	sequence_stop(&sequence);
 	pthread_mutex_unlock(&lock);
-	if (going && !sequence.cancelled) {
+	if (is_connected && !sequence.is_cancelled) {
 		static const char end[] =
 		    "data: {\"finish\":\"stop\"}\n\ndata: [DONE]\n\n";
 
@@ -237,23 +251,27 @@
 	} else {
 		mg_close_connection(connection);
 	}
-	pthread_cond_destroy(&sequence.ready);
+	pthread_cond_destroy(&sequence.token_ready);
 	return 200;
 }
 
+/* Prints the waiting token as a server-sent event; returns its bytes. */
 static unsigned
-sequence_line(
+sequence_format_event(
     const struct sequence *sequence, char *line, size_t capacity_bytes)
 {
 	if (controls[NO_VERSIONS].value)
 		return (unsigned)snprintf(line, capacity_bytes,
-		    "data: {\"token\":\"%s\"}\n\n", sequence->text);
+		    "data: {\"token\":\"%s\"}\n\n", sequence->token);
 	return (unsigned)snprintf(line, capacity_bytes,
-	    "data: {\"token\":\"%s\",\"version\":%llu}\n\n", sequence->text,
-	    (unsigned long long)sequence->version);
+	    "data: {\"token\":\"%s\",\"version\":%llu}\n\n", sequence->token,
+	    (unsigned long long)sequence->token_version);
 }
 
-/* POST /cancel with a request's name: it no longer runs once this answers. */
+/*
+ * POST /cancel with the name of a request: stops it before the response is
+ * sent. 404 if no such request runs or waits.
+ */
 static int
 on_cancel(struct mg_connection *connection, void *context)
 {
@@ -266,12 +284,12 @@
 	fake_read_body(connection, &name);
 	pthread_mutex_lock(&lock);
 	TAILQ_FOREACH (sequence, &sequences, next) {
-		if (strcmp(sequence->name, kwb_buf_text(&name)) != 0)
+		if (strcmp(sequence->request_name, kwb_buf_text(&name)) != 0)
 			continue;
 		status = 200;
-		sequence->cancelled = true;
+		sequence->is_cancelled = true;
 		sequence_stop(sequence);
-		pthread_cond_signal(&sequence->ready);
+		pthread_cond_signal(&sequence->token_ready);
 	}
 	pthread_mutex_unlock(&lock);
 	kwb_buf_finish(&name);
@@ -279,17 +297,18 @@
 	return status;
 }
 
-/* Takes the sequence out of the batch; called under the lock. */
+/* Takes the sequence out of the batch. The caller holds the lock. */
 static void
 sequence_stop(struct sequence *sequence)
 {
-	if (!sequence->running)
+	if (!sequence->is_running)
 		return;
-	sequence->running = false;
+	sequence->is_running = false;
 	controls[RUNNING].value--;
-	sequence->model->running--;
+	sequence->model->running_count--;
 }
 
+/* GET /load: running sequences and models, as of up to load_lag_ms ago. */
 static int
 on_load(struct mg_connection *connection, void *context)
 {
@@ -309,7 +328,8 @@
 		    "\"running\":%u}",
 		    i ? "," : "", models[i].name,
 		    (unsigned long long)models[i].version,
-		    models[i].swapping ? "true" : "false", models[i].running);
+		    models[i].is_swapping ? "true" : "false",
+		    models[i].running_count);
 	kwb_buf_printf(&out, "}}");
 	if (kwb_clock_now_ns() >= lagged_ns) {
 		kwb_text_copy(lagged, sizeof(lagged), out.data);
@@ -325,8 +345,10 @@
 }
 
 /*
- * Loads a version: fetches it while serving goes on, then pauses for swap_ms.
- * A swap that fails half-way leaves version 0 until the next order.
+ * POST /orders: loads a weight version. Fetches it while the old version keeps
+ * serving, then pauses the model for swap_ms. After a failed swap the model has
+ * version 0, and generates nothing, until the next order. Responds 409 to an
+ * outdated fencing token, 503 if the fetch fails, 500 if the swap fails.
  */
 static int
 on_orders(struct mg_connection *connection, void *context)
@@ -334,7 +356,7 @@
 	struct kwb_buf body;
 	struct model *model;
 	json_t *root;
-	uint64_t version, fence;
+	uint64_t version, fencing_token;
 	int status = 200;
 
 	(void)context;
@@ -344,29 +366,29 @@
 	kwb_buf_finish(&body);
 	version =
 	    (uint64_t)json_integer_value(json_object_get(root, "version"));
-	fence = (uint64_t)json_integer_value(
+	fencing_token = (uint64_t)json_integer_value(
 	    json_object_get(root, "fencing_token"));
 	pthread_mutex_lock(&lock);
 	model =
 	    model_find(json_string_value(json_object_get(root, "model")), true);
-	if (fence < model->fence) {
+	if (fencing_token < model->fencing_token) {
 		controls[ORDERS_OLD].value++;
 		if (!controls[IGNORE_FENCE].value)
 			status = 409;
 	} else {
-		model->fence = fence;
+		model->fencing_token = fencing_token;
 	}
 	pthread_mutex_unlock(&lock);
 	if (status == 200 && !weights_fetch(model->name, version))
 		status = 503;
 	if (status == 200) {
 		pthread_mutex_lock(&lock);
-		model->swapping = true;
+		model->is_swapping = true;
 		pthread_mutex_unlock(&lock);
 		kwb_clock_sleep_ns(
 		    (uint64_t)controls[SWAP_MS].value * KWB_MS_NS);
 		pthread_mutex_lock(&lock);
-		model->swapping = false;
+		model->is_swapping = false;
 		model->version = version;
 		if (controls[FAIL_SWAP].value > 0) {
 			controls[FAIL_SWAP].value--;
@@ -380,6 +402,7 @@
 	return status;
 }
 
+/* Whether the platform sent the weights. */
 static bool
 weights_fetch(const char *model, uint64_t version)
 {
@@ -389,15 +412,16 @@
 	struct kwb_http_answer answer;
 	int error;
 
-	if (platform[0] == '\0')
+	if (platform_url[0] == '\0')
 		return true;
-	snprintf(url, sizeof(url), "%s/weights/%s/%llu", platform, model,
+	snprintf(url, sizeof(url), "%s/weights/%s/%llu", platform_url, model,
 	    (unsigned long long)version);
 	error = kwb_http_do(&request, &answer);
 	kwb_http_answer_finish(&answer);
 	return error == 0 && answer.status == 200;
 }
 
+/* Thread: runs steps one after the other, at the pace that they take. */
 static void *
 engine_run(void *argument)
 {
@@ -418,73 +442,79 @@
 	return NULL;
 }
 
-/* Admits by priority, makes a token each; returns what the step takes. */
+/*
+ * Admits waiting sequences by priority, then generates a token for each running
+ * one. Returns the duration of the step in ns. The caller holds the lock.
+ */
 static uint64_t
 engine_step(void)
 {
-	struct sequence *sequence, *best;
+	struct sequence *sequence, *highest;
 	uint64_t step_us = (uint64_t)controls[TOKEN_US].value;
 
 	while (controls[RUNNING].value < controls[SLOTS].value) {
-		best = NULL;
+		highest = NULL;
 		TAILQ_FOREACH (sequence, &sequences, next)
-			if (!sequence->running && !sequence->cancelled &&
-			    (best == NULL ||
-				sequence->priority > best->priority))
-				best = sequence;
-		if (best == NULL)
+			if (!sequence->is_running && !sequence->is_cancelled &&
+			    (highest == NULL ||
+				sequence->priority > highest->priority))
+				highest = sequence;
+		if (highest == NULL)
 			break;
-		best->running = true;
-		best->model->running++;
+		highest->is_running = true;
+		highest->model->running_count++;
 		if (++controls[RUNNING].value > controls[MOST].value)
 			controls[MOST].value = (int64_t)controls[RUNNING].value;
-		if (!cache_touch(best->cache_key))
-			step_us += best->prompt_words *
+		if (!cache_find_or_add(highest->cache_key))
+			step_us += highest->prompt_words *
 			    (uint64_t)controls[PREFILL_US].value;
 	}
 	if (controls[STUCK].value)
 		return step_us * 1000;
 	TAILQ_FOREACH (sequence, &sequences, next) {
-		if (!sequence->running || sequence->full ||
-		    sequence->model->swapping || sequence->model->version == 0)
+		if (!sequence->is_running || sequence->has_token ||
+		    sequence->model->is_swapping ||
+		    sequence->model->version == 0)
 			continue;
-		fake_token_text(sequence->text, sequence->hash, sequence->made,
-		    sequence->model->version);
-		sequence->version = sequence->model->version;
-		sequence->full = true;
+		fake_token_text(sequence->token, sequence->hash,
+		    sequence->next_index, sequence->model->version);
+		sequence->token_version = sequence->model->version;
+		sequence->has_token = true;
 		controls[TOKENS].value++;
 		step_us += (uint64_t)controls[BATCH_US].value;
-		pthread_cond_signal(&sequence->ready);
+		pthread_cond_signal(&sequence->token_ready);
 	}
 	return step_us * 1000;
 }
 
+/* Returns NULL if the model is unknown and not created. */
 static struct model *
-model_find(const char *name, bool make)
+model_find(const char *name, bool create)
 {
 	unsigned i;
 
 	for (i = 0; name != NULL && i < models_count; i++)
 		if (strcmp(models[i].name, name) == 0)
 			return &models[i];
-	if (!make || name == NULL || models_count == MODELS_MAX)
+	if (!create || name == NULL || models_count == MODELS_MAX)
 		return NULL;
 	kwb_text_copy(
 	    models[models_count].name, sizeof(models[models_count].name), name);
 	return &models[models_count++];
 }
 
+/* Whether the prompt was cached; adds it in place of the oldest if not. */
 static bool
-cache_touch(uint64_t key)
+cache_find_or_add(uint64_t key)
 {
 	unsigned i;
 
-	for (i = 0; i < CACHE_MAX; i++)
+	for (i = 0; i < CACHE_ENTRIES_MAX; i++)
 		if (cache[i] == key) {
 			controls[CACHE_HITS].value++;
 			return true;
 		}
-	cache[cache_next++ % CACHE_MAX] = key;
+	cache[cache_next_slot++ % CACHE_ENTRIES_MAX] = key;
 	controls[CACHE_MISSES].value++;
 	return false;
 }
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -1,8 +1,12 @@
 /*
- * Stand-in for the platform: transactional table, object store, rate-limited
- * weight store, lagging VM list. Switches: down (no answers), slow_ms,
- * lose_answers (writes take effect, the answer is cut), objects_down,
- * weights_down, vms_down, vms_lag_ms.
+ * Stand-in for the platform: a table with conditional writes, an object store,
+ * a rate-limited weight store and a VM list that changes with a delay.
+ *
+ * Controls: down (closes every connection without a response), objects_down,
+ * weights_down and vms_down (the same for one service), slow_ms (delay of each
+ * response), lose_answers (a write to the table takes effect, but the
+ * connection is closed without a response), vms_lag_ms, weights_mb_s. reads and
+ * writes count requests to the table.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,13 +16,14 @@
 
 #include "fake.h"
 
-#define NAME_MAX_BYTES 512
-#define THREADS 384
+#define PATH_MAX_BYTES 512
+#define SERVER_THREADS 384
 
+/* A row of the table, an object or a model's newest version, by its path. */
 struct row {
 	LIST_ENTRY(row) next;
-	char name[NAME_MAX_BYTES];
-	uint64_t revision;
+	char path[PATH_MAX_BYTES];
+	uint64_t revision; /* 1 once written, then one more a write */
 	struct kwb_buf value;
 };
 
@@ -36,21 +41,22 @@
 static int on_objects(struct mg_connection *connection, void *context);
 static int on_weights(struct mg_connection *connection, void *context);
 static int on_vms(struct mg_connection *connection, void *context);
-static bool fails(struct mg_connection *connection, const char *part);
-static struct row *row_find(const char *name, bool make);
-static int row_put(struct mg_connection *connection, struct row *row,
-    const struct kwb_buf *body, const char *name);
-static bool unchanged(struct mg_connection *connection, uint64_t revision);
-static void count(const char *name);
+static bool apply_faults(
+    struct mg_connection *connection, const char *fault_control);
+static struct row *row_find(const char *path, bool create);
+static int row_write(struct mg_connection *connection, struct row *row,
+    const struct kwb_buf *body, const char *path);
+static bool is_unchanged(struct mg_connection *connection, uint64_t revision);
+static void control_increment(const char *name);
 
 int
 main(int argc, char **argv)
 {
 	struct mg_context *context;
 
-	context =
-	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7000"),
-		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
+	context = fake_start(
+	    fake_option(argc, argv, "--listen", "127.0.0.1:7000"),
+	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	mg_set_request_handler(context, "/table/", on_table, NULL);
 	mg_set_request_handler(context, "/objects/", on_objects, NULL);
 	mg_set_request_handler(context, "/weights/", on_weights, NULL);
@@ -59,6 +65,11 @@
 	return 0;
 }
 
+/*
+ * GET and PUT of a row. The response's ETag is the row's revision. If-Match and
+ * If-None-Match make a write conditional; a GET with If-None-Match gets 304 if
+ * the revision is unchanged.
+ */
 static int
 on_table(struct mg_connection *connection, void *context)
 {
@@ -74,21 +85,21 @@
 	kwb_buf_init(&body);
 	kwb_buf_init(&value);
 	fake_read_body(connection, &body);
-	if (fails(connection, "down")) {
+	if (apply_faults(connection, "down")) {
 		kwb_buf_finish(&body);
 		return 0;
 	}
-	count(put ? "writes" : "reads");
+	control_increment(put ? "writes" : "reads");
 	pthread_mutex_lock(&rows_lock);
 	row = row_find(info->local_uri, false);
 	if (put)
-		status = row_put(connection, row, &body, info->local_uri);
+		status = row_write(connection, row, &body, info->local_uri);
 	else if (row != NULL && row->revision > 0)
 		status = 200;
 	row = row_find(info->local_uri, false);
 	if (row != NULL)
 		revision = row->revision;
-	if (!put && status == 200 && unchanged(connection, revision))
+	if (!put && status == 200 && is_unchanged(connection, revision))
 		status = 304;
 	if (!put && status == 200)
 		kwb_buf_add(&value, row->value.data, row->value.used_bytes);
@@ -107,9 +118,13 @@
 	return status;
 }
 
+/*
+ * Stores the body. Returns 200, or 412 if the request's precondition fails.
+ * row is NULL if there is none yet. The caller holds rows_lock.
+ */
 static int
-row_put(struct mg_connection *connection, struct row *row,
-    const struct kwb_buf *body, const char *name)
+row_write(struct mg_connection *connection, struct row *row,
+    const struct kwb_buf *body, const char *path)
 {
 	const char *match = mg_get_header(connection, "If-Match");
 	uint64_t revision = row ? row->revision : 0;
@@ -118,13 +133,14 @@
 		return 412;
 	if (match != NULL && strtoull(match, NULL, 10) != revision)
 		return 412;
-	row = row_find(name, true);
+	row = row_find(path, true);
 	row->revision++;
 	row->value.used_bytes = 0;
 	kwb_buf_add(&row->value, kwb_buf_text(body), body->used_bytes);
 	return 200;
 }
 
+/* GET and PUT of an object. */
 static int
 on_objects(struct mg_connection *connection, void *context)
 {
@@ -136,13 +152,13 @@
 	(void)context;
 	kwb_buf_init(&body);
 	fake_read_body(connection, &body);
-	if (fails(connection, "objects_down")) {
+	if (apply_faults(connection, "objects_down")) {
 		kwb_buf_finish(&body);
 		return 0;
 	}
 	pthread_mutex_lock(&rows_lock);
 	if (strcmp(info->request_method, "PUT") == 0) {
-		status = row_put(connection, row_find(info->local_uri, false),
+		status = row_write(connection, row_find(info->local_uri, false),
 		    &body, info->local_uri);
 		body.used_bytes = 0;
 	} else if ((row = row_find(info->local_uri, false)) != NULL) {
@@ -157,9 +173,9 @@
 }
 
 /*
- * GET /weights/MODEL: newest version. PUT: publishes that version. GET
- * /weights/MODEL/N: the weights, one fetch at a time at the store's rate
- * (weights_mb_s for weights of 1 MB; 0 is at once).
+ * GET /weights/MODEL returns the newest version, PUT publishes a version. GET
+ * /weights/MODEL/N returns the weights, one download at a time, each as long as
+ * 1 MB takes at weights_mb_s (0 for no limit).
  */
 static int
 on_weights(struct mg_connection *connection, void *context)
@@ -174,7 +190,7 @@
 	(void)context;
 	kwb_buf_init(&body);
 	fake_read_body(connection, &body);
-	if (fails(connection, "weights_down")) {
+	if (apply_faults(connection, "weights_down")) {
 		kwb_buf_finish(&body);
 		return 0;
 	}
@@ -190,7 +206,7 @@
 	pthread_mutex_lock(&rows_lock);
 	row = row_find(info->local_uri, false);
 	if (strcmp(info->request_method, "PUT") == 0) {
-		status = row_put(connection, row, &body, info->local_uri);
+		status = row_write(connection, row, &body, info->local_uri);
 		body.used_bytes = 0;
 	} else if (row != NULL) {
 		kwb_buf_add(&body, row->value.data, row->value.used_bytes);
@@ -204,7 +220,10 @@
 	return status;
 }
 
-/* PUT sets the list, in force vms_lag_ms later. */
+/*
+ * GET returns the VM list, PUT replaces it after vms_lag_ms. The ETag is the
+ * list's revision.
+ */
 static int
 on_vms(struct mg_connection *connection, void *context)
 {
@@ -218,7 +237,7 @@
 	(void)context;
 	kwb_buf_init(&body);
 	fake_read_body(connection, &body);
-	if (fails(connection, "vms_down")) {
+	if (apply_faults(connection, "vms_down")) {
 		kwb_buf_finish(&body);
 		return 0;
 	}
@@ -238,7 +257,7 @@
 	body.used_bytes = 0;
 	snprintf(headers, sizeof(headers), "ETag: %llu\r\n",
 	    (unsigned long long)revision);
-	if (unchanged(connection, revision))
+	if (is_unchanged(connection, revision))
 		status = 304;
 	else
 		kwb_buf_add(&body, now.used_bytes ? now.data : "[]",
@@ -250,12 +269,13 @@
 	return 200;
 }
 
+/* Closes the connection and returns true if a control says so; else delays. */
 static bool
-fails(struct mg_connection *connection, const char *part)
+apply_faults(struct mg_connection *connection, const char *fault_control)
 {
 	uint64_t slow_ms = (uint64_t)fake_control_get("slow_ms");
 
-	if (fake_control_get("down") || fake_control_get(part)) {
+	if (fake_control_get("down") || fake_control_get(fault_control)) {
 		mg_close_connection(connection);
 		return true;
 	}
@@ -264,25 +284,26 @@
 	return false;
 }
 
+/* Returns NULL if there is no such row and none is created. */
 static struct row *
-row_find(const char *name, bool make)
+row_find(const char *path, bool create)
 {
 	struct row *row;
 
 	LIST_FOREACH (row, &rows, next)
-		if (strcmp(row->name, name) == 0)
+		if (strcmp(row->path, path) == 0)
 			return row;
-	if (!make)
+	if (!create)
 		return NULL;
 	row = calloc(1, sizeof(*row));
-	kwb_text_copy(row->name, sizeof(row->name), name);
+	kwb_text_copy(row->path, sizeof(row->path), path);
 	LIST_INSERT_HEAD(&rows, row, next);
 	return row;
 }
 
-/* Whether the reader has named the revision it already knows. */
+/* Whether the request's If-None-Match names this revision. */
 static bool
-unchanged(struct mg_connection *connection, uint64_t revision)
+is_unchanged(struct mg_connection *connection, uint64_t revision)
 {
 	const char *known = mg_get_header(connection, "If-None-Match");
 
@@ -290,7 +311,7 @@
 }
 
 static void
-count(const char *name)
+control_increment(const char *name)
 {
 	unsigned i;
 
--- a/fakes/fake-relay.c
+++ b/fakes/fake-relay.c
@@ -1,8 +1,9 @@
 /*
- * Stand-in for the network between two processes: a TCP relay. Switches:
- * cut (closes and refuses), silent (connections open now pass nothing more
- * and stay open; new ones work), drop_there, drop_back (one direction of
- * every connection passes nothing).
+ * Stand-in for the network between two processes: a TCP relay from --relay to
+ * --target. Controls: cut (closes all connections, refuses new ones), silent
+ * (when its value changes, connections that are open stay open but pass no more
+ * data; later ones work), drop_there and drop_back (data to, or from, the
+ * target is discarded on every connection).
  */
 #include <arpa/inet.h>
 #include <poll.h>
@@ -21,10 +22,10 @@
 
 static struct kwb_address target;
 
-static void *relay_run(void *argument);
-static void *pair_run(void *argument);
-static bool pass(int from, int to, bool drop);
-static int dial(void);
+static void *accept_connections(void *argument);
+static void *connection_run(void *argument);
+static bool forward_chunk(int from, int to, bool drop);
+static int connect_to_target(void);
 static int listen_at(const char *text);
 
 int
@@ -40,43 +41,46 @@
 		return 1;
 	fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7300"), 4,
 	    controls, sizeof(controls) / sizeof(controls[0]));
-	pthread_create(&thread, NULL, relay_run, fd);
+	pthread_create(&thread, NULL, accept_connections, fd);
 	fake_wait_for_signal();
 	return 0;
 }
 
+/* Thread: accepts connections and starts a thread for each. */
 static void *
-relay_run(void *argument)
+accept_connections(void *argument)
 {
-	int listener = *(int *)argument;
+	int listen_fd = *(int *)argument;
 	pthread_t thread;
 
 	for (;;) {
 		int *fd = malloc(sizeof(*fd));
 
-		*fd = accept(listener, NULL, NULL);
+		*fd = accept(listen_fd, NULL, NULL);
 		if (*fd < 0 || fake_control_get("cut")) {
 			close(*fd);
 			free(fd);
 			continue;
 		}
-		if (pthread_create(&thread, NULL, pair_run, fd) == 0)
+		if (pthread_create(&thread, NULL, connection_run, fd) == 0)
 			pthread_detach(thread);
 	}
 	return NULL;
 }
 
+/* Thread: forwards one connection in both directions until it closes. */
 static void *
-pair_run(void *argument)
+connection_run(void *argument)
 {
-	int near = *(int *)argument, far = dial();
+	int client_fd = *(int *)argument, target_fd = connect_to_target();
 	int64_t silent = fake_control_get("silent");
-	struct pollfd polls[2] = {{near, POLLIN, 0}, {far, POLLIN, 0}};
-	bool open = far >= 0;
+	struct pollfd polls[2] = {
+	    {client_fd, POLLIN, 0}, {target_fd, POLLIN, 0}};
+	bool open = target_fd >= 0;
 
 	free(argument);
 	while (open && !fake_control_get("cut")) {
-		/* A higher number silences the connections open by then. */
+		/* Changed since this connection was accepted: pass nothing. */
 		if (fake_control_get("silent") != silent) {
 			kwb_clock_sleep_ns(POLL_MS * KWB_MS_NS);
 			continue;
@@ -84,27 +88,30 @@
 		if (poll(polls, 2, POLL_MS) <= 0)
 			continue;
 		if (polls[0].revents != 0)
-			open = pass(near, far, fake_control_get("drop_there"));
+			open = forward_chunk(client_fd, target_fd,
+			    fake_control_get("drop_there"));
 		if (open && polls[1].revents != 0)
-			open = pass(far, near, fake_control_get("drop_back"));
+			open = forward_chunk(target_fd, client_fd,
+			    fake_control_get("drop_back"));
 	}
-	close(near);
-	if (far >= 0)
-		close(far);
+	close(client_fd);
+	if (target_fd >= 0)
+		close(target_fd);
 	return NULL;
 }
 
+/* Returns false when either side has closed the connection. */
 static bool
-pass(int from, int to, bool drop)
+forward_chunk(int from, int to, bool drop)
 {
 	char chunk[CHUNK_BYTES];
-	ssize_t got = read(from, chunk, sizeof(chunk)), sent = 0, part;
+	ssize_t received = read(from, chunk, sizeof(chunk)), sent = 0, part;
 
-	if (got <= 0)
+	if (received <= 0)
 		return false;
-	while (!drop && sent < got) {
-		part =
-		    send(to, chunk + sent, (size_t)(got - sent), MSG_NOSIGNAL);
+	while (!drop && sent < received) {
+		part = send(
+		    to, chunk + sent, (size_t)(received - sent), MSG_NOSIGNAL);
 		if (part <= 0)
 			return false;
 		sent += part;
@@ -112,8 +119,9 @@
 	return true;
 }
 
+/* Returns the socket, or -1. */
 static int
-dial(void)
+connect_to_target(void)
 {
 	struct sockaddr_in in = {.sin_family = AF_INET};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -126,6 +134,7 @@
 	return -1;
 }
 
+/* Listens at "IP:PORT"; returns the socket, or -1. */
 static int
 listen_at(const char *text)
 {
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -1,7 +1,8 @@
 /*
- * Stand-in for a plain service: keeps the body of each call that ran, in
- * order, with the most that ran at once. Switches: work_ms, lose_answers
- * (the call runs, the answer is cut).
+ * Stand-in for a plain service: records every call that it ran, in order, at
+ * GET /journal. Controls: work_ms (duration of a call), lose_answers (a call
+ * runs, but the connection is closed without a response). running, most and ran
+ * count calls: now, the most at the same time, in total.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,11 +10,19 @@
 
 #include "fake.h"
 
-#define THREADS 128
+#define SERVER_THREADS 128
 
-static struct fake_control controls[] = {{"work_ms", 0}, {"lose_answers", 0},
-    {"running", 0}, {"most", 0}, {"ran", 0}};
-static struct kwb_buf journal;
+/* Indexes of controls. */
+enum { WORK_MS, LOSE_ANSWERS, RUNNING, MOST, RAN };
+
+static struct fake_control controls[] = {
+    [WORK_MS] = {"work_ms", 0},
+    [LOSE_ANSWERS] = {"lose_answers", 0},
+    [RUNNING] = {"running", 0},
+    [MOST] = {"most", 0},
+    [RAN] = {"ran", 0},
+};
+static struct kwb_buf journal; /* "METHOD PATH BODY" lines */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
 static int on_call(struct mg_connection *connection, void *context);
@@ -25,9 +34,9 @@
 {
 	struct mg_context *context;
 
-	context =
-	    fake_start(fake_option(argc, argv, "--listen", "127.0.0.1:7200"),
-		THREADS, controls, sizeof(controls) / sizeof(controls[0]));
+	context = fake_start(
+	    fake_option(argc, argv, "--listen", "127.0.0.1:7200"),
+	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	mg_set_request_handler(context, "/journal$", on_journal, NULL);
 	mg_set_request_handler(context, "/health$", on_health, NULL);
 	mg_set_request_handler(context, "/**", on_call, NULL);
@@ -46,15 +55,15 @@
 	kwb_buf_init(&answer);
 	fake_read_body(connection, &body);
 	pthread_mutex_lock(&lock);
-	controls[4].value++;
-	if (++controls[2].value > controls[3].value)
-		controls[3].value = (int64_t)controls[2].value;
+	controls[RAN].value++;
+	if (++controls[RUNNING].value > controls[MOST].value)
+		controls[MOST].value = (int64_t)controls[RUNNING].value;
 	kwb_buf_printf(&journal, "%s %s %s\n", info->request_method,
 	    info->local_uri, kwb_buf_text(&body));
 	pthread_mutex_unlock(&lock);
 	kwb_clock_sleep_ns((uint64_t)fake_control_get("work_ms") * KWB_MS_NS);
 	pthread_mutex_lock(&lock);
-	controls[2].value--;
+	controls[RUNNING].value--;
 	pthread_mutex_unlock(&lock);
 	kwb_buf_printf(
 	    &answer, "done %s %s", info->local_uri, kwb_buf_text(&body));
--- a/fakes/fake-trainer.c
+++ b/fakes/fake-trainer.c
@@ -1,6 +1,7 @@
 /*
- * Stand-in for a trainer, as a program: pulls steps, publishes the next
- * weights after each, prints a line a step.
+ * Stand-in for a trainer, as a program: pulls steps, publishes a new weight
+ * version after each and prints a line for each step. Exits with 1 if any step
+ * was incomplete or had a doubled, wrong or stale sample.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -10,14 +11,15 @@
 #include "fake.h"
 #include "trainer.h"
 
-static void publish(const char *platform, const char *model, uint64_t version);
+static void publish_version(
+    const char *platform_url, const char *model, uint64_t version);
 
 int
 main(int argc, char **argv)
 {
-	const char *platform = fake_option(argc, argv, "--platform", "");
+	const char *platform_url = fake_option(argc, argv, "--platform", "");
 	const char *model = fake_option(argc, argv, "--model", "m");
-	char entries[512], *rest = entries, *one;
+	char entries[512], *rest = entries, *entry;
 	uint64_t steps =
 	    strtoull(fake_option(argc, argv, "--steps", "1"), NULL, 10);
 	uint64_t step;
@@ -29,7 +31,7 @@
 	    .weight_version = 1,
 	    .staleness_bound_versions = 1,
 	};
-	/* The longest sample alone, at the engine's pace. */
+	/* ideal_ms: the longest sample, alone in the batch of an engine. */
 	uint64_t token_us =
 	    strtoull(fake_option(argc, argv, "--token_us", "2020"), NULL, 10);
 	struct trainer_result result;
@@ -38,9 +40,9 @@
 	kwb_http_init();
 	kwb_text_copy(
 	    entries, sizeof(entries), fake_option(argc, argv, "--entries", ""));
-	while ((one = strsep(&rest, ",")) != NULL &&
+	while ((entry = strsep(&rest, ",")) != NULL &&
 	    trainer.entries_count < TRAINER_ENTRIES_MAX)
-		trainer.entries[trainer.entries_count++] = one;
+		trainer.entries[trainer.entries_count++] = entry;
 	for (step = 1; step <= steps; step++) {
 		trainer.deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS;
 		trainer_pull_step(&trainer, step, &result);
@@ -61,22 +63,22 @@
 		if (!result.is_complete || result.doubled || result.wrong ||
 		    result.stale)
 			code = 1;
-		publish(platform, model, ++trainer.weight_version);
+		publish_version(platform_url, model, ++trainer.weight_version);
 	}
 	return code;
 }
 
 static void
-publish(const char *platform, const char *model, uint64_t version)
+publish_version(const char *platform_url, const char *model, uint64_t version)
 {
 	char url[512], text[32];
 	struct kwb_http_request request = {
 	    .method = "PUT", .url = url, .body = text};
 	struct kwb_http_answer answer;
 
-	if (platform[0] == '\0')
+	if (platform_url[0] == '\0')
 		return;
-	snprintf(url, sizeof(url), "%s/weights/%s", platform, model);
+	snprintf(url, sizeof(url), "%s/weights/%s", platform_url, model);
 	request.body_bytes =
 	    (size_t)snprintf(text, sizeof(text), "%" PRIu64, version);
 	kwb_http_do(&request, &answer);
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -1,5 +1,5 @@
 /*
- * What the stand-ins share.
+ * HTTP server and controls of the stand-ins.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,8 +14,8 @@
 static int on_control(struct mg_connection *connection, void *context);
 
 struct mg_context *
-fake_start(const char *listen, unsigned threads, struct fake_control *own,
-    unsigned own_count)
+fake_start(const char *listen, unsigned threads,
+    struct fake_control *own_controls, unsigned own_controls_count)
 {
 	char count[16];
 	const char *options[] = {"listening_ports", listen, "num_threads",
@@ -30,8 +30,8 @@
 	sigaddset(&set, SIGINT);
 	sigaddset(&set, SIGPIPE);
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
-	controls = own;
-	controls_count = own_count;
+	controls = own_controls;
+	controls_count = own_controls_count;
 	snprintf(count, sizeof(count), "%u", threads);
 	mg_init_library(0);
 	context = mg_start(&callbacks, NULL, options);
@@ -62,7 +62,7 @@
 	for (i = 0; i < controls_count; i++)
 		if (strcmp(controls[i].name, name) == 0)
 			return controls[i].value;
-	fprintf(stderr, "no switch %s\n", name);
+	fprintf(stderr, "unknown control %s\n", name);
 	exit(1);
 }
 
@@ -80,10 +80,10 @@
 fake_read_body(struct mg_connection *connection, struct kwb_buf *body)
 {
 	char chunk[8192];
-	int got;
+	int received;
 
-	while ((got = mg_read(connection, chunk, sizeof(chunk))) > 0)
-		kwb_buf_add(body, chunk, (size_t)got);
+	while ((received = mg_read(connection, chunk, sizeof(chunk))) > 0)
+		kwb_buf_add(body, chunk, (size_t)received);
 }
 
 void
@@ -98,7 +98,8 @@
 	sigwait(&set, &number);
 }
 
-/* "POST /control?down=1" sets a switch, "GET /control?down" reads it. */
+/* "POST /control?down=1" sets a control and returns its old value;
+ * "GET /control?down" reads it. */
 static int
 on_control(struct mg_connection *connection, void *context)
 {
--- a/fakes/text.c
+++ b/fakes/text.c
@@ -1,5 +1,5 @@
 /*
- * The text a fake engine makes: token i is "HHHH.V", a hash and the version.
+ * Text that the fake engine generates.
  */
 #include <math.h>
 #include <stdio.h>
@@ -7,8 +7,8 @@
 #include "kwb.h"
 #include "text.h"
 
-#define PARTS 4
-#define PART_DEVIATION 1.73 /* scales a sum of four uniform parts to 1 */
+#define UNIFORM_TERMS 4
+#define UNIFORM_SUM_SCALE 1.73 /* sqrt(3): their sum gets deviation 1 */
 
 uint64_t
 fake_sequence_hash(const char *prompt, uint64_t seed)
@@ -31,10 +31,10 @@
 	double sum = 0, length;
 	unsigned i;
 
-	for (i = 0; i < PARTS; i++)
+	for (i = 0; i < UNIFORM_TERMS; i++)
 		sum += (double)((sequence >> (16 * i)) & 0xffff) / 65536.0;
 	length = (double)median *
-	    exp((sum - PARTS / 2.0) * PART_DEVIATION * (double)spread_percent /
-		100.0);
+	    exp((sum - UNIFORM_TERMS / 2.0) * UNIFORM_SUM_SCALE *
+		(double)spread_percent / 100.0);
 	return length < 1 ? 1 : (uint32_t)length;
 }
--- a/fakes/trainer.c
+++ b/fakes/trainer.c
@@ -1,5 +1,5 @@
 /*
- * Stand-in for a trainer.
+ * Stand-in for a trainer: pulls a step and checks its samples.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,39 +14,39 @@
 
 #define URL_MAX_BYTES 256
 #define PROMPT_MAX_BYTES 256
-#define SEED_SPACING 16384 /* as in the interface: seed * 16384 + sample */
-#define RETRY_NS (100 * KWB_MS_NS)
+#define SEED_STRIDE 16384 /* a sample's seed is seed * 16384 + sample */
+#define RETRY_DELAY_NS (100 * KWB_MS_NS)
 
-/* A pull in progress. */
+/* The state of pulling a step, over all attempts. */
 struct pull {
 	const struct trainer *trainer;
 	struct trainer_result *result;
 	uint64_t step;
 	uint32_t attempt;
-	uint32_t *got; /* by slot */
-	struct kwb_buf line;
-	bool ended;
+	uint32_t *received_counts;   /* of each sample */
+	struct kwb_buf partial_line; /* received without its newline */
+	bool is_ended;
 };
 
 static char *pull_body(const struct pull *pull);
 static bool on_data(void *context, const char *data, size_t length_bytes);
-static void on_line(struct pull *pull, const char *text);
-static void on_sample(struct pull *pull, json_t *root);
-static bool sample_is_true(
+static void pull_on_line(struct pull *pull, const char *text);
+static void pull_on_sample(struct pull *pull, json_t *root);
+static bool sample_is_correct(
     const struct pull *pull, json_t *root, uint64_t *oldest);
-static uint64_t version_at(json_t *spans, uint32_t index);
+static uint64_t span_version_at(json_t *spans, uint32_t index);
 
 void
 trainer_pull_step(
     const struct trainer *trainer, uint64_t step, struct trainer_result *result)
 {
 	uint32_t slots = trainer->groups * trainer->samples;
-	uint64_t begun_ns = kwb_clock_now_ns();
+	uint64_t started_ns = kwb_clock_now_ns();
 	struct pull pull = {.trainer = trainer, .result = result, .step = step};
 
 	memset(result, 0, sizeof(*result));
 	result->oldest_version = UINT64_MAX;
-	pull.got = calloc(slots, sizeof(*pull.got));
+	pull.received_counts = calloc(slots, sizeof(*pull.received_counts));
 	while (result->received < slots &&
 	    kwb_clock_now_ns() < trainer->deadline_ns) {
 		char url[URL_MAX_BYTES];
@@ -59,8 +59,8 @@
 		unsigned entry = pull.attempt % trainer->entries_count;
 
 		pull.attempt++;
-		pull.ended = false;
-		kwb_buf_init(&pull.line);
+		pull.is_ended = false;
+		kwb_buf_init(&pull.partial_line);
 		body = pull_body(&pull);
 		snprintf(url, sizeof(url),
 		    "%s/v1/plans/%s/steps/%" PRIu64 "/pull",
@@ -74,15 +74,15 @@
 			request.timeout_ms = trainer->attempt_timeout_ms;
 		kwb_http_do(&request, &answer);
 		kwb_http_answer_finish(&answer);
-		kwb_buf_finish(&pull.line);
+		kwb_buf_finish(&pull.partial_line);
 		free(body);
 		if (result->received < slots)
-			kwb_clock_sleep_ns(RETRY_NS);
+			kwb_clock_sleep_ns(RETRY_DELAY_NS);
 	}
 	result->attempts = pull.attempt;
-	result->elapsed_ns = kwb_clock_now_ns() - begun_ns;
+	result->elapsed_ns = kwb_clock_now_ns() - started_ns;
 	result->is_complete = result->received == slots;
-	free(pull.got);
+	free(pull.received_counts);
 }
 
 void
@@ -94,6 +94,7 @@
 	    group);
 }
 
+/* The request's body; the caller frees it. */
 static char *
 pull_body(const struct pull *pull)
 {
@@ -112,7 +113,7 @@
 			(int)trainer->max_tokens));
 	}
 	for (i = 0; i < trainer->groups * trainer->samples; i++)
-		if (pull->got[i] > 0)
+		if (pull->received_counts[i] > 0)
 			json_array_append_new(have,
 			    json_pack("[i,i]", (int)(i / trainer->samples),
 				(int)(i % trainer->samples)));
@@ -126,6 +127,7 @@
 	return text;
 }
 
+/* Splits the response into lines. */
 static bool
 on_data(void *context, const char *data, size_t length_bytes)
 {
@@ -135,28 +137,29 @@
 	while ((newline = memchr(data, '\n', length_bytes)) != NULL) {
 		size_t part = (size_t)(newline - data) + 1;
 
-		kwb_buf_add(&pull->line, data, part);
-		on_line(pull, pull->line.data);
-		pull->line.used_bytes = 0;
+		kwb_buf_add(&pull->partial_line, data, part);
+		pull_on_line(pull, pull->partial_line.data);
+		pull->partial_line.used_bytes = 0;
 		data += part;
 		length_bytes -= part;
 	}
-	kwb_buf_add(&pull->line, data, length_bytes);
+	kwb_buf_add(&pull->partial_line, data, length_bytes);
 	return true;
 }
 
 static void
-on_line(struct pull *pull, const char *text)
+pull_on_line(struct pull *pull, const char *text)
 {
 	json_t *root = json_loads(text, 0, NULL);
 
 	if (json_object_get(root, "tokens") != NULL)
-		on_sample(pull, root);
+		pull_on_sample(pull, root);
 	json_decref(root);
 }
 
+/* Checks and counts a sample. */
 static void
-on_sample(struct pull *pull, json_t *root)
+pull_on_sample(struct pull *pull, json_t *root)
 {
 	const struct trainer *trainer = pull->trainer;
 	struct trainer_result *result = pull->result;
@@ -170,11 +173,11 @@
 		result->wrong++;
 		return;
 	}
-	if (pull->got[group * trainer->samples + sample]++ > 0)
+	if (pull->received_counts[group * trainer->samples + sample]++ > 0)
 		result->doubled++;
 	else
 		result->received++;
-	if (!sample_is_true(pull, root, &oldest))
+	if (!sample_is_correct(pull, root, &oldest))
 		result->wrong++;
 	age = trainer->weight_version > oldest
 	    ? trainer->weight_version - oldest
@@ -191,8 +194,12 @@
 		result->longest_sample_tokens = tokens;
 }
 
+/*
+ * Whether tokens, spans, checksum and (if known) length are those of the fake
+ * engine. Lowers *oldest to the oldest version of its tokens.
+ */
 static bool
-sample_is_true(const struct pull *pull, json_t *root, uint64_t *oldest)
+sample_is_correct(const struct pull *pull, json_t *root, uint64_t *oldest)
 {
 	const struct trainer *trainer = pull->trainer;
 	uint32_t group =
@@ -206,21 +213,21 @@
 	char prompt[PROMPT_MAX_BYTES], expected[FAKE_TOKEN_MAX_BYTES], sum[32];
 	XXH64_state_t *hash = XXH64_createState();
 	uint64_t sequence, version, length;
-	bool right = true;
+	bool is_correct = true;
 	size_t i;
 
 	trainer_format_prompt(
 	    prompt, sizeof(prompt), trainer->plan, pull->step, group);
 	sequence =
-	    fake_sequence_hash(prompt, (uint64_t)group * SEED_SPACING + sample);
+	    fake_sequence_hash(prompt, (uint64_t)group * SEED_STRIDE + sample);
 	XXH64_reset(hash, 0);
 	json_array_foreach (tokens, i, token) {
 		const char *text = json_string_value(token);
 
-		version = version_at(spans, (uint32_t)i);
+		version = span_version_at(spans, (uint32_t)i);
 		fake_token_text(expected, sequence, (uint32_t)i, version);
 		if (strcmp(text, expected) != 0)
-			right = false;
+			is_correct = false;
 		if (version < *oldest)
 			*oldest = version;
 		if (version > pull->result->newest_version)
@@ -230,20 +237,21 @@
 	snprintf(sum, sizeof(sum), "%016" PRIx64, (uint64_t)XXH64_digest(hash));
 	XXH64_freeState(hash);
 	if (checksum == NULL || strcmp(sum, checksum) != 0)
-		right = false;
+		is_correct = false;
 	if (trainer->length_median > 0) {
 		length = fake_sequence_length(sequence, trainer->length_median,
 		    trainer->length_spread_percent);
 		if (length > trainer->max_tokens)
 			length = trainer->max_tokens;
 		if (json_array_size(tokens) != length)
-			right = false;
+			is_correct = false;
 	}
-	return right;
+	return is_correct;
 }
 
+/* The version of the token at index; 0 if no [version, first, count] has it. */
 static uint64_t
-version_at(json_t *spans, uint32_t index)
+span_version_at(json_t *spans, uint32_t index)
 {
 	json_t *span;
 	size_t i;
