--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# knapweedbarrow. Targets: all, demo, check, bench, format, lint, sanitize.
+# Builds knapweedbarrow into $(B). Main targets: all, demo, check, bench, slopes,
+# soak, node-soak, mutants, fuzz, format, format-check, lint, sanitize, packages.
 
 CC ?= gcc
 B ?= build
@@ -14,7 +15,7 @@
 	-ljansson -lxxhash -lm
 NODE_LIBS = -levent_core -levent_extra -lhttp_parser -lnettle -ljansson -lm
 
-# What a node on the shared platform is made of; its program links no more.
+# Sources of kwb-node, which runs on the users' platform and links only these.
 NODE_SRC = $(wildcard src/net/*.c src/store/*.c src/upstream/*.c \
 	src/forward/*.c src/batch/*.c src/node/*.c src/peer/*.c \
 	platform/*.c) \
@@ -51,7 +52,7 @@
 	@mkdir -p $(@D)
 	$(CC) $(CFLAGS) -MMD -c -o $@ $<
 
-# Only this one is built for the users' platform.
+# The programs for the users' platform.
 node: $(B)/kwb-node $(B)/kwb-nodectl
 
 $(B)/kwb-node: $(NODE_OBJ)
@@ -111,7 +112,8 @@
 
 $(B)/tests/fuzz/corpus.o $(B)/tests/fuzz/%.o: CFLAGS += -Wno-missing-prototypes
 
-# What a target plays: the own interface's frames, traces, else a node's parts.
+# Objects that a fuzz target links: libkwb for frames, the trace reader for traces,
+# and the node's objects for traces and all others.
 fuzz_parts = $(if $(filter frame,$1),$(B)/libkwb.a,$(if $(filter trace,$1),$(TRACE_OBJ)) $(NODE_PARTS))
 fuzz_libs = $(if $(filter frame,$1),$(LIBS),$(NODE_LIBS))
 
@@ -119,7 +121,7 @@
 $(FUZZ:%=$(B)/tests/fuzz/%): %: %.o $(B)/tests/fuzz/corpus.o $$(call fuzz_parts,$$(notdir $$@))
 	$(CC) $(LDFLAGS) -o $@ $^ $(call fuzz_libs,$(notdir $@))
 
-# A target with a fuzzing engine; its objects are built for one, too.
+# Fuzz targets with libFuzzer; `make fuzz` compiles their objects with coverage.
 $(FUZZ:%=$(B)/fuzz-%): $(B)/fuzz-%: $(B)/tests/fuzz/%.o $$(call fuzz_parts,$$*)
 	$(CC) -fsanitize=fuzzer,address,undefined -o $@ $^ $(call fuzz_libs,$*)
 
@@ -134,11 +136,11 @@
 LINT_SRC = $(filter-out %.pb-c.c,$(LIB_SRC)) $(NODE_SRC) \
 	$(wildcard src/trace/*.c daemons/*.c cli/*.c)
 
-# Builds everything and runs all tests; the last line counts them.
+# Builds everything and runs all tests; the last line counts passed and failed.
 check: all $(TESTS)
 	@tests/check.sh $(B)
 
-# The whole path on the stand-ins, with a table at the end.
+# Runs all daemons on loopback with the stand-ins; prints the status at the end.
 demo: packages all
 	@examples/demo.sh $(B)
 
@@ -151,18 +153,18 @@
 soak: all $(TESTS)
 	$(B)/tests/faults --soak 200
 
-# Nodes on the users' platform under drawn faults, one run a seed.
+# Node processes under random faults; each seed is one run.
 SOAK_SEED ?= $(shell date +%Y%m%d)
 SOAK_RUNS ?= 50
 node-soak: all $(TESTS)
 	seq $(SOAK_SEED) $$(($(SOAK_SEED) + $(SOAK_RUNS) - 1)) | \
 		xargs -P3 -n1 $(B)/tests/platform/soak
 
-# Takes one mechanism out at a time; the proof of it must then fail.
+# Mutation tests: removes one mechanism at a time; its test must then fail.
 mutants:
 	tests/mutants.sh
 
-# Each target for FUZZ_S seconds; what crashes one is kept in its corpus.
+# Fuzzes each target for FUZZ_S seconds; a crashing input is added to its corpus.
 FUZZ_S ?= 60
 fuzz:
 	DEBIAN_FRONTEND=noninteractive apt-get install -y -qq clang \
@@ -195,7 +197,7 @@
 		-std=gnu11 -D_GNU_SOURCE \
 		-Iinclude
 
-# Daemons and tests under the address and undefined-behaviour sanitizers.
+# Runs daemons and tests with the address and undefined-behaviour sanitizers.
 sanitize:
 	$(MAKE) B=build/sanitized OPT=-O1 \
 		SANITIZE="-fsanitize=address,undefined -fno-omit-frame-pointer" \
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -46,7 +46,7 @@
 }
 
 void
-series_print(const struct series *series, const char *title, const char *x_unit,
+line_print(const struct series *series, const char *title, const char *x_unit,
     const char *y_unit)
 {
 	double points = series->count, sum_x = 0, sum_y = 0, sum_xx = 0,
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -27,8 +27,11 @@
 void usage_read(struct world *world, const char *name, struct usage *usage);
 /* Adds a point; ignored beyond POINTS_MAX. */
 void series_add(struct series *series, double x, double y);
-/* Prints the points, and slope and intercept of their least-squares line. */
-void series_print(const struct series *series, const char *title,
+/*
+ * Prints the points of a series, and slope and intercept of the line fitted to
+ * them by least squares.
+ */
+void line_print(const struct series *series, const char *title,
     const char *x_unit, const char *y_unit);
 /* The value at a fraction from 0 to 1; sorts values. 0 if there are none. */
 double percentile(double *values, unsigned count, double fraction);
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -97,9 +97,9 @@
 		series_add(&bytes, agents[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	series_print(&cpu, "entry idle, core", "agent", "%");
-	series_print(&rss, "entry idle, memory", "agent", "KB");
-	series_print(&bytes, "entry idle, control sent", "agent", "bytes/s");
+	line_print(&cpu, "entry idle, core", "agent", "%");
+	line_print(&rss, "entry idle, memory", "agent", "KB");
+	line_print(&bytes, "entry idle, control sent", "agent", "bytes/s");
 	memset(&cpu, 0, sizeof(cpu));
 	memset(&rss, 0, sizeof(rss));
 	memset(&bytes, 0, sizeof(bytes));
@@ -111,9 +111,9 @@
 		series_add(&bytes, entries[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	series_print(&cpu, "agent idle, core", "entry", "%");
-	series_print(&rss, "agent idle, memory", "entry", "KB");
-	series_print(&bytes, "agent idle, control sent", "entry", "bytes/s");
+	line_print(&cpu, "agent idle, core", "entry", "%");
+	line_print(&rss, "agent idle, memory", "entry", "KB");
+	line_print(&bytes, "agent idle, control sent", "entry", "bytes/s");
 }
 
 /* Cost of requests that are answered with a single token. */
@@ -142,9 +142,9 @@
 		series_add(&agent, requests[i],
 		    agent_after.cpu_ms - agent_before.cpu_ms);
 	}
-	series_print(&entry, "entry, short answers", "request", "ms");
-	series_print(&agent, "agent, short answers", "request", "ms");
-	series_print(&rate, "requests a second, 8 callers", "request", "1/s");
+	line_print(&entry, "entry, short answers", "request", "ms");
+	line_print(&agent, "agent, short answers", "request", "ms");
+	line_print(&rate, "requests a second, 8 callers", "request", "1/s");
 	world_stop(&world);
 }
 
@@ -170,8 +170,8 @@
 		series_add(&agent, 64.0 * tokens[i],
 		    (agent_after.cpu_ms - agent_before.cpu_ms) * 1000);
 	}
-	series_print(&entry, "entry, streamed answers", "token", "us");
-	series_print(&agent, "agent, streamed answers", "token", "us");
+	line_print(&entry, "entry, streamed answers", "token", "us");
+	line_print(&agent, "agent, streamed answers", "token", "us");
 	world_stop(&world);
 }
 
@@ -204,8 +204,8 @@
 			pthread_join(threads[j], NULL);
 		world_stop(&world);
 	}
-	series_print(&entry, "entry, open streams, memory", "stream", "KB");
-	series_print(&agent, "agent, open streams, memory", "stream", "KB");
+	line_print(&entry, "entry, open streams, memory", "stream", "KB");
+	line_print(&agent, "agent, open streams, memory", "stream", "KB");
 }
 
 /*
@@ -252,9 +252,9 @@
 		    after.control_bytes - before.control_bytes -
 			idle_bytes * elapsed_s);
 	}
-	series_print(&cpu, "entry, changes, 16 plans", "change", "ms");
-	series_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
-	series_print(
+	line_print(&cpu, "entry, changes, 16 plans", "change", "ms");
+	line_print(&agent_cpu, "agent, changes, 16 plans", "change", "ms");
+	line_print(
 	    &bytes, "entry, changes, sent to 4 agents", "change", "bytes");
 	world_stop(&world);
 }
@@ -281,12 +281,11 @@
 		series_add(&agent_bytes, plans[i], usage.control_bytes);
 		world_stop(&world);
 	}
-	series_print(&cpu, "entry idle, core", "plan", "%");
-	series_print(&rss, "entry idle, memory", "plan", "KB");
-	series_print(&bytes, "entry idle, control sent", "plan", "bytes/s");
-	series_print(&agent_cpu, "agent idle, core", "plan", "%");
-	series_print(
-	    &agent_bytes, "agent idle, control sent", "plan", "bytes/s");
+	line_print(&cpu, "entry idle, core", "plan", "%");
+	line_print(&rss, "entry idle, memory", "plan", "KB");
+	line_print(&bytes, "entry idle, control sent", "plan", "bytes/s");
+	line_print(&agent_cpu, "agent idle, core", "plan", "%");
+	line_print(&agent_bytes, "agent idle, control sent", "plan", "bytes/s");
 }
 
 /* Table reads and writes a second, by number of entries and of agents. */
@@ -322,9 +321,9 @@
 				    (double)written / seconds);
 			world_stop(&world);
 		}
-	series_print(&reads, "table reads", "entry", "1/s");
-	series_print(&writes, "table writes", "entry", "1/s");
-	series_print(&agent_reads, "table reads", "agent", "1/s");
+	line_print(&reads, "table reads", "entry", "1/s");
+	line_print(&writes, "table writes", "entry", "1/s");
+	line_print(&agent_reads, "table reads", "agent", "1/s");
 }
 
 /* Duration of the functions whose input grows with the number of VMs. */
@@ -369,9 +368,9 @@
 		series_add(&share, sizes[i],
 		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
 	}
-	series_print(&subset, "entry, subset of a changed list", "VM", "us");
-	series_print(&home, "entry, homes of a plan", "VM", "us");
-	series_print(&share, "agent, share of a plan", "VM", "us");
+	line_print(&subset, "entry, subset of a changed list", "VM", "us");
+	line_print(&home, "entry, homes of a plan", "VM", "us");
+	line_print(&share, "agent, share of a plan", "VM", "us");
 }
 
 /*
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on the stand-ins: two entries, three model engines, two
-# plain services, a platform, a trainer and callers; prints what came out.
+# Runs two entries and five agents on loopback, with stand-ins for three model
+# engines, two plain services, the platform and a trainer. Pulls steps, sends
+# requests and prints the results.
 set -eu
 build=$1
 dir=$(mktemp -d)
@@ -15,7 +16,7 @@
 	"$@" >>"$dir/log" 2>&1 &
 	pids="$pids $!"
 }
-P=http://127.0.0.1:18000
+platform=http://127.0.0.1:18000
 start "$build/fake-platform" --listen 127.0.0.1:18000
 sleep 0.3
 vms=""
@@ -28,7 +29,7 @@
 	if [ $i -le 3 ]; then
 		name=llm-$i pool=llm kind=engine
 		start "$build/fake-engine" --listen 127.0.0.1:1820$i \
-			--models quote-drafter --platform $P
+			--models quote-drafter --platform $platform
 	else
 		name=shop-$i pool=shop kind=service
 		start "$build/fake-service" --listen 127.0.0.1:1820$i
@@ -37,7 +38,7 @@
 vm: $name
 failure_domain: $domain
 listen: 127.0.0.1:1810$i
-platform: $P
+platform: $platform
 pool: $pool
 upstream: http://127.0.0.1:1820$i
 upstream_kind: $kind
@@ -52,20 +53,20 @@
 vm: entry-$i
 failure_domain: fd-$i
 listen: 127.0.0.1:1800$i
-platform: $P
+platform: $platform
 EOF
 	start "$build/kwb-entry" --settings "$dir/entry-$i.yaml"
 	vm entry-$i entry "" 1800$i fd-$i
 done
-curl -s -X PUT --data "[$vms]" $P/vms >/dev/null
-curl -s -X PUT --data 1 $P/weights/quote-drafter
-echo "--- the two lists"
-"$build/kwbctl" --platform $P apply examples/plans.yaml examples/allowances.yaml
+curl -s -X PUT --data "[$vms]" $platform/vms >/dev/null
+curl -s -X PUT --data 1 $platform/weights/quote-drafter
+echo "--- apply the lists of plans and allowances"
+"$build/kwbctl" --platform $platform apply examples/plans.yaml examples/allowances.yaml
 sleep 4
-echo "--- three steps of 8 groups by 4 samples, new weights after each"
-"$build/fake-trainer" --platform $P --plan quotes --model quote-drafter \
+echo "--- trainer: 3 steps of 8 groups of 4 samples, new weights after each"
+"$build/fake-trainer" --platform $platform --plan quotes --model quote-drafter \
 	--steps 3 --entries http://127.0.0.1:18001,http://127.0.0.1:18002
-echo "--- callers, with prompts from examples/prompts.txt"
+echo "--- completions of the prompts in examples/prompts.txt"
 while read -r prompt; do
 	curl -s -o "$dir/out" -w '%{http_code} in %{time_total} s: ' -X POST \
 		-d "{\"prompt\":\"$prompt\",\"max_tokens\":6}" \
@@ -73,17 +74,17 @@
 	cut -c1-100 "$dir/out"
 	echo
 done <examples/prompts.txt
-echo "--- an order with a key, through both entries"
+echo "--- the same call with one Idempotency-Key, through both entries"
 for i in 1 2; do
 	curl -s -i -X POST -H 'Idempotency-Key: demo-1' -d 'forty boxes' \
 		http://127.0.0.1:1800$i/v1/plans/orders/call/orders |
 		grep -i 'HTTP/\|outcome\|done'
 done
-echo "--- what the services ran"
+echo "--- calls that the services ran: one, not two"
 for i in 4 5; do curl -s http://127.0.0.1:1820$i/journal; done
-echo "--- outcomes by entry"
+echo "--- counters of each entry"
 for i in 1 2; do
 	curl -s http://127.0.0.1:1800$i/metrics |
 		grep 'ran_total\|unknown_total\|samples' | sed "s/^/entry-$i /"
 done
-"$build/kwbctl" --platform $P status
+"$build/kwbctl" --platform $platform status
--- a/examples/hedge.c
+++ b/examples/hedge.c
@@ -1,6 +1,7 @@
 /*
- * When a sample's silent stream is moved elsewhere: only in the tail of a step
- * and only on idle room.
+ * Shows when a sample whose stream has stalled is moved to another agent: only
+ * near the end of a step, when no sample is left to start, and only if another
+ * agent has a free slot.
  */
 #include <stdio.h>
 
@@ -20,7 +21,7 @@
 		input.silent_ns = silent_ms * KWB_MS_NS;
 		printf("silent for %4llu ms: %s\n",
 		    (unsigned long long)silent_ms,
-		    kwb_hedge_is_due(&input) ? "moved" : "left alone");
+		    kwb_hedge_is_due(&input) ? "moved" : "not moved");
 	}
 	return 0;
 }
--- a/examples/lease.c
+++ b/examples/lease.c
@@ -1,5 +1,5 @@
 /*
- * Takes a lease with a fencing token from a platform and gives it back.
+ * Acquires a lease with a fencing token from a platform and releases it.
  *
  *   lease http://IP:PORT NAME
  */
@@ -21,11 +21,11 @@
 	kwb_lease_init(&lease, argv[2], "example", kwb_clock_wall_ms());
 	error = kwb_lease_acquire(&lease, &platform);
 	if (error == 0) {
-		printf("held with token %llu\n",
+		printf("acquired with fencing token %llu\n",
 		    (unsigned long long)lease.fencing_token);
 		kwb_lease_release(&lease, &platform);
 	} else {
-		printf("not held: %s\n", kwb_error_name(error));
+		printf("not acquired: %s\n", kwb_error_name(error));
 	}
 	kwb_http_finish();
 	return error != 0;
--- a/examples/lists.c
+++ b/examples/lists.c
@@ -1,5 +1,6 @@
 /*
- * Loads two lists from a file, checks them and prints what a plan may use.
+ * Reads plans and allowances from a file, checks them and prints how many
+ * requests a plan may run.
  *
  *   lists FILE PLAN      the file holds both lists
  */
--- a/examples/route.c
+++ b/examples/route.c
@@ -1,6 +1,6 @@
 /*
- * A routing decision over three upstreams: the first is full, the second is
- * swapping its weights, the third is chosen.
+ * A routing decision among three upstreams: on the first the plan has used up
+ * its units, the second is swapping its weights, so the third is chosen.
  */
 #include <stdio.h>
 
@@ -43,7 +43,6 @@
 		printf("none: %s\n", kwb_error_name(choice.error));
 		return 1;
 	}
-	printf(
-	    "%s, because of %s\n", upstreams[choice.index].vm, choice.reason);
+	printf("%s, reason: %s\n", upstreams[choice.index].vm, choice.reason);
 	return 0;
 }
--- a/examples/shares.c
+++ b/examples/shares.c
@@ -1,6 +1,7 @@
 /*
- * Three agents share an allowance of ten; one is busy and gives back only as
- * its requests end. The sum stays at ten or below throughout.
+ * Three agents share an allowance of 10 units. The first holds all of them and
+ * is busy, so it gives units back only as its requests end. The sum never
+ * exceeds 10.
  */
 #include <stdio.h>
 
--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -117,8 +117,8 @@
 static struct model models[MODELS_MAX];
 static unsigned models_count;
 static uint64_t cache[CACHE_ENTRIES_MAX]; /* ring of prompt hashes */
-static unsigned cache_next_slot;
-static const char *platform_url; /* empty: orders fetch no weights */
+static unsigned cache_next;  /* slot to fill next, modulo CACHE_ENTRIES_MAX */
+static const char *platform; /* URL; empty: orders fetch no weights */
 
 static int on_completions(struct mg_connection *connection, void *context);
 static int on_load(struct mg_connection *connection, void *context);
@@ -142,7 +142,7 @@
 	unsigned i;
 	pthread_t thread;
 
-	platform_url = fake_option(argc, argv, "--platform", "");
+	platform = fake_option(argc, argv, "--platform", "");
 	for (i = 0; i < sizeof(controls) / sizeof(controls[0]); i++) {
 		char option[64];
 		const char *value;
@@ -412,9 +412,9 @@
 	struct kwb_http_answer answer;
 	int error;
 
-	if (platform_url[0] == '\0')
+	if (platform[0] == '\0')
 		return true;
-	snprintf(url, sizeof(url), "%s/weights/%s/%llu", platform_url, model,
+	snprintf(url, sizeof(url), "%s/weights/%s/%llu", platform, model,
 	    (unsigned long long)version);
 	error = kwb_http_do(&request, &answer);
 	kwb_http_answer_finish(&answer);
@@ -514,7 +514,7 @@
 			controls[CACHE_HITS].value++;
 			return true;
 		}
-	cache[cache_next_slot++ % CACHE_ENTRIES_MAX] = key;
+	cache[cache_next++ % CACHE_ENTRIES_MAX] = key;
 	controls[CACHE_MISSES].value++;
 	return false;
 }
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -47,7 +47,7 @@
 static int row_write(struct mg_connection *connection, struct row *row,
     const struct kwb_buf *body, const char *path);
 static bool is_unchanged(struct mg_connection *connection, uint64_t revision);
-static void control_increment(const char *name);
+static void count(const char *name);
 
 int
 main(int argc, char **argv)
@@ -89,7 +89,7 @@
 		kwb_buf_finish(&body);
 		return 0;
 	}
-	control_increment(put ? "writes" : "reads");
+	count(put ? "writes" : "reads");
 	pthread_mutex_lock(&rows_lock);
 	row = row_find(info->local_uri, false);
 	if (put)
@@ -310,8 +310,9 @@
 	return known != NULL && strtoull(known, NULL, 10) == revision;
 }
 
+/* Adds one to the control name, which is a counter. */
 static void
-control_increment(const char *name)
+count(const char *name)
 {
 	unsigned i;
 
