--- a/bench/measure.c
+++ b/bench/measure.c
@@ -1,5 +1,5 @@
 /*
- * What the measurements share.
+ * Helpers of the measurements.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,10 +10,10 @@
 
 static double metric_read(
     struct cluster *world, const char *name, const char *metric);
-static int by_value(const void *a, const void *b);
+static int compare_doubles(const void *a, const void *b);
 
 void
-account_take(struct cluster *world, const char *name, struct account *account)
+usage_read(struct cluster *world, const char *name, struct usage *usage)
 {
 	struct cluster_process *process = cluster_find_process(world, name);
 	char path[64], text[1024];
@@ -21,81 +21,86 @@
 	clockid_t clock;
 	FILE *file;
 
-	memset(account, 0, sizeof(*account));
+	memset(usage, 0, sizeof(*usage));
 	if (clock_getcpuclockid(process->pid, &clock) == 0)
 		clock_gettime(clock, &cpu);
-	account->cpu_ms = (double)cpu.tv_sec * 1e3 + (double)cpu.tv_nsec / 1e6;
+	usage->cpu_ms = (double)cpu.tv_sec * 1e3 + (double)cpu.tv_nsec / 1e6;
 	snprintf(path, sizeof(path), "/proc/%d/status", (int)process->pid);
 	file = fopen(path, "r");
 	while (file != NULL && fgets(text, sizeof(text), file) != NULL)
 		if (strncmp(text, "VmRSS:", 6) == 0)
-			account->rss_kb = atof(text + 6);
+			usage->rss_kb = atof(text + 6);
 	if (file != NULL)
 		fclose(file);
-	account->control_bytes =
+	usage->control_bytes =
 	    metric_read(world, name, "\nkwb_control_bytes_total ");
 }
 
 void
-line_add(struct line *line, double x, double y)
+series_add(struct series *series, double x, double y)
 {
-	if (line->count == POINTS_MAX)
+	if (series->count == POINTS_MAX)
 		return;
-	line->x[line->count] = x;
-	line->y[line->count++] = y;
+	series->x[series->count] = x;
+	series->y[series->count++] = y;
 }
 
 void
-line_print(const struct line *line, const char *what, const char *per,
-    const char *unit)
+line_print(const struct series *series, const char *title, const char *x_unit,
+    const char *y_unit)
 {
-	double n = line->count, sx = 0, sy = 0, sxx = 0, sxy = 0, slope;
+	double points = series->count, sum_x = 0, sum_y = 0, sum_xx = 0,
+	       sum_xy = 0, slope;
 	unsigned i;
 
-	printf("%-34s", what);
-	for (i = 0; i < line->count; i++) {
-		printf(" %g:%.4g", line->x[i], line->y[i]);
-		sx += line->x[i];
-		sy += line->y[i];
-		sxx += line->x[i] * line->x[i];
-		sxy += line->x[i] * line->y[i];
+	printf("%-34s", title);
+	for (i = 0; i < series->count; i++) {
+		printf(" %g:%.4g", series->x[i], series->y[i]);
+		sum_x += series->x[i];
+		sum_y += series->y[i];
+		sum_xx += series->x[i] * series->x[i];
+		sum_xy += series->x[i] * series->y[i];
 	}
-	slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-	printf(" | %.4g %s per %s, from %.4g\n", slope, unit, per,
-	    (sy - slope * sx) / n);
+	slope = (points * sum_xy - sum_x * sum_y) /
+	    (points * sum_xx - sum_x * sum_x);
+	printf(" | %.4g %s per %s, intercept %.4g\n", slope, y_unit, x_unit,
+	    (sum_y - slope * sum_x) / points);
 	fflush(stdout);
 }
 
 double
-percentile(double *values, unsigned count, double part)
+percentile(double *values, unsigned count, double fraction)
 {
 	if (count == 0)
 		return 0;
-	qsort(values, count, sizeof(*values), by_value);
-	return values[(unsigned)((count - 1) * part)];
+	qsort(values, count, sizeof(*values), compare_doubles);
+	return values[(unsigned)((count - 1) * fraction)];
 }
 
-/* An entry serves its counters itself, an agent at its metrics address. */
+/*
+ * Reads a counter of an entry or agent; 0 if it does not respond. metric is
+ * "\nNAME ", so that no longer name or comment matches.
+ */
 static double
 metric_read(struct cluster *world, const char *name, const char *metric)
 {
 	char url[128];
 	struct kwb_buf text;
-	const char *at;
+	const char *found;
 	double value = 0;
 
 	cluster_print_metrics_url(world, name, url, sizeof(url));
 	kwb_buf_init(&text);
 	if (cluster_http_request("GET", url, NULL, NULL, &text, NULL, 2000) ==
 		200 &&
-	    (at = strstr(text.data, metric)) != NULL)
-		value = atof(at + strlen(metric));
+	    (found = strstr(text.data, metric)) != NULL)
+		value = atof(found + strlen(metric));
 	kwb_buf_finish(&text);
 	return value;
 }
 
 static int
-by_value(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a, right = *(const double *)b;
 
--- a/fakes/fake.h
+++ b/fakes/fake.h
@@ -1,6 +1,7 @@
 /*
- * What the stand-ins share: an HTTP server that answers with small texts, and
- * switches that a test sets by "POST /control?name=value".
+ * HTTP server and controls of the stand-ins. A control is a number with a name
+ * that a test sets by "POST /control?name=value" and reads by
+ * "GET /control?name": a setting, a fault to inject or a counter.
  */
 #ifndef KWB_FAKES_FAKE_H
 #define KWB_FAKES_FAKE_H
@@ -9,22 +10,29 @@
 
 #include "kwb.h"
 
-#define FAKE_SWITCHES_MAX 24
+#define FAKE_CONTROLS_MAX 24
 
-struct fake_switch {
+struct fake_control {
 	const char *name;
 	_Atomic int64_t value;
 };
 
-/* Starts the server on argv's --listen; ends the process on failure. */
+/*
+ * Starts the server on "IP:PORT" with the given controls and blocks SIGTERM,
+ * SIGINT and SIGPIPE. Exits the process on failure.
+ */
 struct mg_context *fake_start(const char *listen, unsigned threads,
-    struct fake_switch *switches, unsigned switches_count);
+    struct fake_control *controls, unsigned controls_count);
+/* The argument that follows the flag name; fallback if it is absent. */
 const char *fake_option(
     int argc, char **argv, const char *name, const char *fallback);
-int64_t fake_value(const char *name);
-void fake_send(struct mg_connection *connection, int status,
+/* Exits the process if there is no such control. */
+int64_t fake_control_get(const char *name);
+/* headers: lines that each end with CRLF, or "". */
+void fake_send_response(struct mg_connection *connection, int status,
     const char *headers, const void *body, size_t length_bytes);
-void fake_read(struct mg_connection *connection, struct kwb_buf *body);
-void fake_wait(void); /* until a signal to stop */
+/* Appends the request's body. */
+void fake_read_body(struct mg_connection *connection, struct kwb_buf *body);
+void fake_wait_for_signal(void); /* SIGTERM or SIGINT */
 
 #endif
--- a/tests/session.c
+++ b/tests/session.c
@@ -186,10 +186,10 @@
 	    .samples = 4,
 	    .max_tokens = MAX_TOKENS,
 	    .weight_version = 1,
-	    .bound_versions = STALENESS_BOUND_VERSIONS,
+	    .staleness_bound_versions = STALENESS_BOUND_VERSIONS,
 	    .length_median = LENGTH_MEDIAN,
-	    .length_spread = LENGTH_SPREAD,
-	    .resend_ms = RESEND_MS};
+	    .length_spread_percent = LENGTH_SPREAD,
+	    .attempt_timeout_ms = RESEND_MS};
 	struct trainer_result result;
 	uint64_t step;
 	unsigned i;
@@ -201,16 +201,16 @@
 	for (step = 1; !atomic_load(&session->is_stopping); step++) {
 		trainer.deadline_ns =
 		    kwb_clock_now_ns() + STEP_DEADLINE_MS * KWB_MS_NS;
-		trainer_pull(&trainer, step, &result);
+		trainer_pull_step(&trainer, step, &result);
 		pthread_mutex_lock(&session->lock);
-		session->complete_steps += result.complete;
-		session->incomplete_steps += !result.complete;
+		session->complete_steps += result.is_complete;
+		session->incomplete_steps += !result.is_complete;
 		session->samples += result.received;
 		session->duplicate_samples += result.doubled;
 		session->wrong_samples += result.wrong;
 		session->stale_samples += result.stale;
 		if (session->healed_ns != 0 && session->step_recovery_ns == 0 &&
-		    result.complete)
+		    result.is_complete)
 			session->step_recovery_ns =
 			    kwb_clock_now_ns() - session->healed_ns;
 		session->trainer_version = ++trainer.weight_version;
@@ -357,9 +357,10 @@
 static bool
 is_expected_answer(const char *text, const char *prompt, uint64_t seed)
 {
-	uint64_t sequence = fake_sequence(prompt, seed);
-	uint32_t length = fake_length(sequence, LENGTH_MEDIAN, LENGTH_SPREAD);
-	char expected[FAKE_TOKEN_BYTES], token[FAKE_TOKEN_BYTES];
+	uint64_t sequence = fake_sequence_hash(prompt, seed);
+	uint32_t length =
+	    fake_sequence_length(sequence, LENGTH_MEDIAN, LENGTH_SPREAD);
+	char expected[FAKE_TOKEN_MAX_BYTES], token[FAKE_TOKEN_MAX_BYTES];
 	unsigned long long version;
 	uint32_t index = 0;
 
@@ -368,7 +369,7 @@
 			"data: {\"token\":\"%31[^\"]\",\"version\":%llu", token,
 			&version) != 2)
 			return false;
-		fake_token(expected, sequence, index++, version);
+		fake_token_text(expected, sequence, index++, version);
 		if (strcmp(token, expected) != 0)
 			return false;
 		text++;
@@ -406,8 +407,8 @@
 }
 
 /*
- * Counts requests that were cut off (no complete answer, though all faults were
- * planned stops) or hung (not answered in time by an entry that runs).
+ * Counts requests that were cut off (no is_complete answer, though all faults
+ * were planned stops) or hung (not answered in time by an entry that runs).
  */
 static void
 count_broken_request(
