--- a/bench/policies.c
+++ b/bench/policies.c
@@ -1,7 +1,7 @@
 /*
- * Compares routing policies under load, at the sizes of both deployments. Times
- * of the fake engines are a tenth of real ones: a token takes 3 ms for a
- * sequence that runs alone. Seeds are fixed.
+ * Compares the routing policy kwb with the baselines round_robin and least, at
+ * the sizes of both deployments. Times of the fake engines are a tenth of real
+ * ones: a token takes 3 ms for a sequence that runs alone. Seeds are fixed.
  *
  *   policies                 all scenarios, all policies
  *   policies SCENARIO        one: step, kill, mixed, overload, weights
@@ -26,7 +26,7 @@
 #define GROUPS 24
 #define SAMPLES 4 /* of each group */
 #define STEPS 6
-#define CALLS_MAX 20000 /* recorded; an eighth for each caller */
+#define CALLS_MAX 20000 /* recorded in all; each caller: an eighth */
 
 /* Sizes of one of the users' deployments. */
 struct deployment {
@@ -66,8 +66,7 @@
 	const char *model;
 	unsigned units;
 	unsigned steps;
-	unsigned
-	    kill_in_step; /* step in which engine-2 is killed; 0 for none */
+	unsigned kill_in_step; /* kills engine-2 in it; 0 for none */
 	struct run_result run_result;
 	pthread_t thread;
 };
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -333,7 +333,7 @@
 	static const unsigned sizes[] = {425, 850, 1700, 3400};
 	static struct kwb_share_member members[KWB_VMS_MAX];
 	static struct kwb_vms vms;
-	struct series subset = {0}, home = {0}, share = {0};
+	struct series subset = {0}, holders = {0}, share = {0};
 	uint32_t chosen[KWB_PEERS_MAX];
 	uint64_t started_ns;
 	unsigned i, j;
@@ -360,7 +360,7 @@
 		for (j = 0; j < 10; j++)
 			kwb_holders_select(
 			    &vms, "llm", "quotes", 256, chosen, KWB_PEERS_MAX);
-		series_add(&home, sizes[i],
+		series_add(&holders, sizes[i],
 		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
 		started_ns = kwb_clock_now_ns();
 		for (j = 0; j < 10; j++)
@@ -369,7 +369,7 @@
 		    (double)(kwb_clock_now_ns() - started_ns) / 1e4);
 	}
 	line_print(&subset, "entry, subset of a changed list", "VM", "us");
-	line_print(&home, "entry, homes of a plan", "VM", "us");
+	line_print(&holders, "entry, holders of a plan", "VM", "us");
 	line_print(&share, "agent, share of a plan", "VM", "us");
 }
 
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -80,7 +80,7 @@
 		http://127.0.0.1:1800$i/v1/plans/orders/call/orders |
 		grep -i 'HTTP/\|outcome\|done'
 done
-echo "--- calls that the services ran: one, not two"
+echo "--- calls that the services ran"
 for i in 4 5; do curl -s http://127.0.0.1:1820$i/journal; done
 echo "--- counters of each entry"
 for i in 1 2; do
--- a/fakes/fake-relay.c
+++ b/fakes/fake-relay.c
@@ -1,6 +1,6 @@
 /*
  * Stand-in for the network between two processes: a TCP relay from --relay to
- * --target. Controls: cut (closes all connections, refuses new ones), silent
+ * --target. Controls: cut (closes all connections, new ones at once), silent
  * (when its value changes, connections that are open stay open but pass no more
  * data; later ones work), drop_there and drop_back (data to, or from, the
  * target is discarded on every connection).
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -98,8 +98,10 @@
 	sigwait(&set, &number);
 }
 
-/* "POST /control?down=1" sets a control and returns its old value;
- * "GET /control?down" reads it. */
+/*
+ * "POST /control?down=1" sets a control and returns its old value,
+ * "GET /control?down" reads it.
+ */
 static int
 on_control(struct mg_connection *connection, void *context)
 {
