--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs two entries and five agents on loopback, with stand-ins for three model
-# engines, two plain services, the platform and a trainer. Pulls steps, sends
-# requests and prints the results.
+# engines, two plain services, the platform and a trainer. Exercises the whole
+# request path: pulls steps, sends requests and prints what is returned.
 set -eu
 build=$1
 dir=$(mktemp -d)
