--- a/bench/measure.c
+++ b/bench/measure.c
@@ -9,13 +9,13 @@
 #include "measure.h"
 
 static double metric_read(
-    struct cluster *world, const char *name, const char *metric);
+    struct cluster *cluster, const char *name, const char *metric);
 static int compare_doubles(const void *a, const void *b);
 
 void
-usage_read(struct cluster *world, const char *name, struct usage *usage)
+usage_read(struct cluster *cluster, const char *name, struct usage *usage)
 {
-	struct cluster_process *process = cluster_find_process(world, name);
+	struct cluster_process *process = cluster_find_process(cluster, name);
 	char path[64], text[1024];
 	struct timespec cpu = {0};
 	clockid_t clock;
@@ -33,7 +33,7 @@
 	if (file != NULL)
 		fclose(file);
 	usage->control_bytes =
-	    metric_read(world, name, "\nkwb_control_bytes_total ");
+	    metric_read(cluster, name, "\nkwb_control_bytes_total ");
 }
 
 void
@@ -82,14 +82,14 @@
  * "\nNAME ", so that no longer name or comment matches.
  */
 static double
-metric_read(struct cluster *world, const char *name, const char *metric)
+metric_read(struct cluster *cluster, const char *name, const char *metric)
 {
 	char url[128];
 	struct kwb_buf text;
 	const char *found;
 	double value = 0;
 
-	cluster_print_metrics_url(world, name, url, sizeof(url));
+	cluster_print_metrics_url(cluster, name, url, sizeof(url));
 	kwb_buf_init(&text);
 	if (cluster_http_request("GET", url, NULL, NULL, &text, NULL, 2000) ==
 		200 &&
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -24,7 +24,7 @@
 };
 
 /* Reads the usage of a running process of the deployment. */
-void usage_read(struct cluster *world, const char *name, struct usage *usage);
+void usage_read(struct cluster *cluster, const char *name, struct usage *usage);
 /* Adds a point; ignored beyond POINTS_MAX. */
 void series_add(struct series *series, double x, double y);
 /*
--- a/bench/policies.c
+++ b/bench/policies.c
@@ -61,7 +61,7 @@
 };
 
 struct trainer_thread {
-	struct cluster *world;
+	struct cluster *cluster;
 	const char *plan;
 	const char *model;
 	unsigned units;
@@ -72,7 +72,7 @@
 };
 
 struct caller_thread {
-	struct cluster *world;
+	struct cluster *cluster;
 	_Atomic bool *is_stopping;
 	uint64_t pause_ns; /* after each request */
 	unsigned index;
@@ -84,7 +84,7 @@
 };
 
 static const char *format_lists(const struct deployment *deployment);
-static void start_world(struct cluster *world,
+static void start_bench_cluster(struct cluster *cluster,
     const struct deployment *deployment, const char *policy);
 static void scenario_step(const struct deployment *deployment, bool kill);
 static void scenario_mixed(const struct deployment *deployment);
@@ -97,10 +97,11 @@
     const struct trainer_thread *trainer, uint64_t step);
 static void *kill_engine(void *argument);
 static void *caller_run(void *argument);
-static void callers_start(struct cluster *world, struct caller_thread *callers,
-    unsigned count, uint64_t pause_ns, _Atomic bool *is_stopping);
+static void callers_start(struct cluster *cluster,
+    struct caller_thread *callers, unsigned count, uint64_t pause_ns,
+    _Atomic bool *is_stopping);
 static void callers_print(struct caller_thread *callers, unsigned count);
-static double cache_hit_ratio(struct cluster *world);
+static double cache_hit_ratio(struct cluster *cluster);
 
 int
 main(int argc, char **argv)
@@ -146,7 +147,7 @@
 	size_t i;
 
 	for (i = 0; i < 3; i++) {
-		struct trainer_thread trainer = {.world = &world,
+		struct trainer_thread trainer = {.cluster = &world,
 		    .plan = "quotes",
 		    .model = "m",
 		    .units = deployment->units,
@@ -156,7 +157,7 @@
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		start_world(&world, deployment, policies[i]);
+		start_bench_cluster(&world, deployment, policies[i]);
 		trainer_run(&trainer);
 		printf("%-5s %-9s %-12s step_ms=%.0f bound_ms=%.0f "
 		       "ratio=%.2f idle=%.0f%% age_mean=%.2f age_max=%.0f "
@@ -184,12 +185,12 @@
 
 	for (i = 0; i < 3; i++) {
 		struct trainer_thread trainers[2] = {
-		    {.world = &world,
+		    {.cluster = &world,
 			.plan = "quotes",
 			.model = "m",
 			.units = deployment->units,
 			.steps = STEPS},
-		    {.world = &world,
+		    {.cluster = &world,
 			.plan = "shades",
 			.model = "n",
 			.units = deployment->units,
@@ -200,7 +201,7 @@
 
 		if (only_policy[0] && strcmp(only_policy, policies[i]) != 0)
 			continue;
-		start_world(&world, deployment, policies[i]);
+		start_bench_cluster(&world, deployment, policies[i]);
 		callers_start(&world, alone, 4, 0, &is_stopping);
 		kwb_clock_sleep_ns(4000 * KWB_MS_NS);
 		is_stopping = true;
@@ -252,7 +253,7 @@
 	static struct cluster world;
 	unsigned phase, t;
 
-	start_world(&world, deployment, "kwb");
+	start_bench_cluster(&world, deployment, "kwb");
 	for (phase = 0; phase < 3; phase++) {
 		_Atomic bool is_stopping = false;
 		uint64_t started_ns = kwb_clock_now_ns();
@@ -281,7 +282,7 @@
 	unsigned round, i, done;
 	uint64_t started_ns;
 
-	start_world(&world, deployment, "kwb");
+	start_bench_cluster(&world, deployment, "kwb");
 	cluster_set_control(&world, "platform", "weights_mb_s", 20);
 	for (round = 0; round < 3; round++) {
 		started_ns = kwb_clock_now_ns();
@@ -337,13 +338,13 @@
 
 		if (step == trainer->kill_in_step)
 			pthread_create(
-			    &killer, NULL, kill_engine, trainer->world);
+			    &killer, NULL, kill_engine, trainer->cluster);
 		pull_step(trainer, step, step, &result);
 		if (step == trainer->kill_in_step)
 			pthread_join(killer, NULL);
 		elapsed_ns = (double)result.elapsed_ns;
 		cluster_publish_weights(
-		    trainer->world, trainer->model, step + 1);
+		    trainer->cluster, trainer->model, step + 1);
 		run_result->samples += result.received;
 		run_result->age_sum += (double)result.age_sum;
 		run_result->wrong +=
@@ -385,8 +386,10 @@
 	    .length_spread_percent = LENGTH_SPREAD,
 	    .deadline_ns = kwb_clock_now_ns() + 120000 * KWB_MS_NS};
 
-	cluster_print_url(trainer->world, "entry-1", urls[0], sizeof(urls[0]));
-	cluster_print_url(trainer->world, "entry-2", urls[1], sizeof(urls[1]));
+	cluster_print_url(
+	    trainer->cluster, "entry-1", urls[0], sizeof(urls[0]));
+	cluster_print_url(
+	    trainer->cluster, "entry-2", urls[1], sizeof(urls[1]));
 	trainer_pull_step(&pull, step, result);
 }
 
@@ -416,7 +419,7 @@
 				longest = length;
 		}
 	}
-	per_engine = (double)trainer->units / trainer->world->spec.engines;
+	per_engine = (double)trainer->units / trainer->cluster->spec.engines;
 	pace_ns = (TOKEN_US + BATCH_US * per_engine) * 1000;
 	length = total / trainer->units * pace_ns;
 	longest *= (TOKEN_US + BATCH_US) * 1000.0;
@@ -427,10 +430,10 @@
 static void *
 kill_engine(void *argument)
 {
-	struct cluster *world = argument;
+	struct cluster *cluster = argument;
 
 	kwb_clock_sleep_ns(300 * KWB_MS_NS);
-	cluster_kill_process(world, "engine-2");
+	cluster_kill_process(cluster, "engine-2");
 	return NULL;
 }
 
@@ -449,7 +452,7 @@
 
 		snprintf(entry, sizeof(entry), "entry-%u",
 		    (caller->index + count) % 2 + 1);
-		cluster_print_url(caller->world, entry, url, 64);
+		cluster_print_url(caller->cluster, entry, url, 64);
 		strcat(url, "/v1/plans/search/completions");
 		snprintf(body, sizeof(body),
 		    "{\"prompt\":\"search %u\",\"seed\":%u,\"max_tokens\":40,"
@@ -471,14 +474,14 @@
 
 /* Starts callers that run until *is_stopping. */
 static void
-callers_start(struct cluster *world, struct caller_thread *callers,
+callers_start(struct cluster *cluster, struct caller_thread *callers,
     unsigned count, uint64_t pause_ns, _Atomic bool *is_stopping)
 {
 	unsigned i;
 
 	for (i = 0; i < count; i++) {
 		memset(&callers[i], 0, sizeof(callers[i]));
-		callers[i].world = world;
+		callers[i].cluster = cluster;
 		callers[i].is_stopping = is_stopping;
 		callers[i].pause_ns = pause_ns;
 		callers[i].index = i;
@@ -509,27 +512,28 @@
 
 /* Hits of the prompt caches of all running engines, from 0 to 1. */
 static double
-cache_hit_ratio(struct cluster *world)
+cache_hit_ratio(struct cluster *cluster)
 {
 	double hits = 0, misses = 0;
 	char name[CLUSTER_NAME_MAX_BYTES];
 	unsigned i;
 
-	for (i = 1; i <= world->spec.engines; i++) {
+	for (i = 1; i <= cluster->spec.engines; i++) {
 		snprintf(name, sizeof(name), "engine-%u", i);
-		if (cluster_find_process(world, name)->pid == 0)
+		if (cluster_find_process(cluster, name)->pid == 0)
 			continue;
-		hits += (double)cluster_get_control(world, name, "cache_hits");
+		hits +=
+		    (double)cluster_get_control(cluster, name, "cache_hits");
 		misses +=
-		    (double)cluster_get_control(world, name, "cache_misses");
+		    (double)cluster_get_control(cluster, name, "cache_misses");
 	}
 	return hits + misses > 0 ? hits / (hits + misses) : 0;
 }
 
 /* Starts the deployment; exits the process on failure. */
 static void
-start_world(struct cluster *world, const struct deployment *deployment,
-    const char *policy)
+start_bench_cluster(struct cluster *cluster,
+    const struct deployment *deployment, const char *policy)
 {
 	char extra[256];
 	struct cluster_spec spec = {.entries = 2,
@@ -547,12 +551,12 @@
 	    "--length_spread %d",
 	    TOKEN_US, BATCH_US, LENGTH_MEDIAN, LENGTH_SPREAD);
 	spec.lists = format_lists(deployment);
-	if (cluster_start(world, &spec, BASE_PORT) == 0) {
-		cluster_publish_weights(world, "n", 1);
+	if (cluster_start(cluster, &spec, BASE_PORT) == 0) {
+		cluster_publish_weights(cluster, "n", 1);
 		return;
 	}
 	fprintf(stderr, "the test deployment did not start\n");
-	cluster_stop(world);
+	cluster_stop(cluster);
 	exit(1);
 }
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -23,7 +23,7 @@
 
 /* Requests that several callers send until the given number is reached. */
 struct request_load {
-	struct cluster *world;
+	struct cluster *cluster;
 	unsigned requests;
 	unsigned max_tokens;
 	_Atomic unsigned next; /* number of the next request */
@@ -38,14 +38,14 @@
 static void slope_platform(void);
 static void slope_lists(void);
 static void slope_overhead(void);
-static void start_world(
-    struct cluster *world, unsigned entries, unsigned engines, unsigned plans);
+static void start_bench_cluster(struct cluster *cluster, unsigned entries,
+    unsigned engines, unsigned plans);
 static void format_lists(struct kwb_buf *text, unsigned plans);
-static void run_requests(struct cluster *world, unsigned callers,
+static void run_requests(struct cluster *cluster, unsigned callers,
     unsigned requests, unsigned max_tokens);
 static void *caller_run(void *argument);
 static double measure_idle(
-    struct cluster *world, const char *name, struct usage *idle);
+    struct cluster *cluster, const char *name, struct usage *idle);
 
 int
 main(int argc, char **argv)
@@ -90,7 +90,7 @@
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		start_world(&world, 1, agents[i], 2);
+		start_bench_cluster(&world, 1, agents[i], 2);
 		series_add(
 		    &cpu, agents[i], measure_idle(&world, "entry-1", &usage));
 		series_add(&rss, agents[i], usage.rss_kb);
@@ -104,7 +104,7 @@
 	memset(&rss, 0, sizeof(rss));
 	memset(&bytes, 0, sizeof(bytes));
 	for (i = 0; i < 4; i++) {
-		start_world(&world, entries[i], 2, 2);
+		start_bench_cluster(&world, entries[i], 2, 2);
 		series_add(
 		    &cpu, entries[i], measure_idle(&world, "llm-1", &usage));
 		series_add(&rss, entries[i], usage.rss_kb);
@@ -127,7 +127,7 @@
 	uint64_t started_ns;
 	unsigned i;
 
-	start_world(&world, 1, 1, 2);
+	start_bench_cluster(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
 		usage_read(&world, "entry-1", &before);
 		usage_read(&world, "llm-1", &agent_before);
@@ -158,7 +158,7 @@
 	static struct cluster world;
 	unsigned i;
 
-	start_world(&world, 1, 1, 2);
+	start_bench_cluster(&world, 1, 1, 2);
 	for (i = 0; i < 4; i++) {
 		usage_read(&world, "entry-1", &before);
 		usage_read(&world, "llm-1", &agent_before);
@@ -191,7 +191,7 @@
 		    &world, streams[i], 4000, 0};
 		unsigned j;
 
-		start_world(&world, 1, 1, 2);
+		start_bench_cluster(&world, 1, 1, 2);
 		for (j = 0; j < streams[i]; j++)
 			pthread_create(
 			    &threads[j], NULL, caller_run, &request_load);
@@ -226,7 +226,7 @@
 	uint64_t started_ns;
 	unsigned i, j;
 
-	start_world(&world, 1, 4, 16);
+	start_bench_cluster(&world, 1, 4, 16);
 	idle = measure_idle(&world, "entry-1", &before);
 	idle_bytes = before.control_bytes;
 	agent_idle = measure_idle(&world, "llm-1", &before);
@@ -271,7 +271,7 @@
 	unsigned i;
 
 	for (i = 0; i < 4; i++) {
-		start_world(&world, 1, 4, plans[i]);
+		start_bench_cluster(&world, 1, 4, plans[i]);
 		series_add(
 		    &cpu, plans[i], measure_idle(&world, "entry-1", &usage));
 		series_add(&rss, plans[i], usage.rss_kb);
@@ -302,7 +302,7 @@
 
 	for (pass = 0; pass < 2; pass++)
 		for (i = 0; i < 4; i++) {
-			start_world(&world, pass ? 1 : entries[i],
+			start_bench_cluster(&world, pass ? 1 : entries[i],
 			    pass ? agents[i] : 2, 2);
 			read = cluster_get_control(&world, "platform", "reads");
 			written =
@@ -389,7 +389,7 @@
 	char engine[160], entry[160];
 	unsigned i;
 
-	start_world(&world, 1, 1, 2);
+	start_bench_cluster(&world, 1, 1, 2);
 	cluster_print_url(&world, "engine-1", engine, 64);
 	strcat(engine, "/v1/completions");
 	cluster_print_url(&world, "entry-1", entry, 64);
@@ -419,8 +419,8 @@
 
 /* Starts a deployment with the given sizes; exits the process on failure. */
 static void
-start_world(
-    struct cluster *world, unsigned entries, unsigned engines, unsigned plans)
+start_bench_cluster(
+    struct cluster *cluster, unsigned entries, unsigned engines, unsigned plans)
 {
 	static struct kwb_buf lists;
 	struct cluster_spec spec = {.entries = entries,
@@ -434,10 +434,10 @@
 	lists.used_bytes = 0;
 	format_lists(&lists, plans);
 	spec.lists = lists.data;
-	if (cluster_start(world, &spec, BASE_PORT) == 0)
+	if (cluster_start(cluster, &spec, BASE_PORT) == 0)
 		return;
 	fprintf(stderr, "the test deployment did not start\n");
-	cluster_stop(world);
+	cluster_stop(cluster);
 	exit(1);
 }
 
@@ -466,10 +466,10 @@
 
 /* Sends all requests from concurrent callers and waits for them. */
 static void
-run_requests(struct cluster *world, unsigned callers, unsigned requests,
+run_requests(struct cluster *cluster, unsigned callers, unsigned requests,
     unsigned max_tokens)
 {
-	struct request_load request_load = {world, requests, max_tokens, 0};
+	struct request_load request_load = {cluster, requests, max_tokens, 0};
 	pthread_t threads[64];
 	unsigned i;
 
@@ -487,7 +487,7 @@
 	char url[160], body[128];
 	unsigned number;
 
-	cluster_print_url(request_load->world, "entry-1", url, sizeof(url));
+	cluster_print_url(request_load->cluster, "entry-1", url, sizeof(url));
 	strcat(url, "/v1/plans/search/completions");
 	while ((number = request_load->next++) < request_load->requests) {
 		snprintf(body, sizeof(body),
@@ -505,14 +505,14 @@
  * gets the usage at its end, with control_bytes per second.
  */
 static double
-measure_idle(struct cluster *world, const char *name, struct usage *idle)
+measure_idle(struct cluster *cluster, const char *name, struct usage *idle)
 {
 	struct usage before;
 	double seconds = IDLE_PERIOD_NS / 1e9;
 
-	usage_read(world, name, &before);
+	usage_read(cluster, name, &before);
 	kwb_clock_sleep_ns(IDLE_PERIOD_NS);
-	usage_read(world, name, idle);
+	usage_read(cluster, name, idle);
 	idle->control_bytes =
 	    (idle->control_bytes - before.control_bytes) / seconds;
 	return (idle->cpu_ms - before.cpu_ms) / (seconds * 10);
