--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -26,11 +26,11 @@
 	struct plan_use plans[KWB_PLANS_MAX];
 };
 
-static void on_open(void *context, uint64_t link, uint32_t tag);
-static void on_frame(
+static void link_on_open(void *context, uint64_t link, uint32_t tag);
+static void link_on_frame(
     void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame);
-static void on_close(void *context, uint64_t link, uint32_t tag);
-static void on_heartbeat(void *context, uint64_t link, uint32_t tag);
+static void link_on_close(void *context, uint64_t link, uint32_t tag);
+static void link_on_heartbeat(void *context, uint64_t link, uint32_t tag);
 static void update_lists(const Kwb__Wire__Lists *lists);
 static void status_fill(
     struct kwb_agent *agent, struct status_message *message);
@@ -39,10 +39,10 @@
 static void *monitor_run(void *argument);
 
 static const struct kwb_link_ops link_ops = {
-    .on_open = on_open,
-    .on_frame = on_frame,
-    .on_close = on_close,
-    .on_heartbeat = on_heartbeat,
+    .on_open = link_on_open,
+    .on_frame = link_on_frame,
+    .on_close = link_on_close,
+    .on_heartbeat = link_on_heartbeat,
 };
 
 int
@@ -132,7 +132,7 @@
 
 /* Sends the hello, the first frame on each link. */
 static void
-on_open(void *context, uint64_t link, uint32_t tag)
+link_on_open(void *context, uint64_t link, uint32_t tag)
 {
 	struct kwb_agent *agent = context;
 	struct status_message message;
@@ -152,7 +152,8 @@
 }
 
 static void
-on_frame(void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame)
+link_on_frame(
+    void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame)
 {
 	struct kwb_agent *agent = context;
 
@@ -175,7 +176,7 @@
 		break;
 	case KWB__WIRE__FRAME__BODY_LISTS:
 		update_lists(frame->lists);
-		on_heartbeat(agent, link, 0); /* tells the revision */
+		link_on_heartbeat(agent, link, 0); /* tells the revision */
 		break;
 	case KWB__WIRE__FRAME__BODY_HELLO:
 		if (frame->hello->protocol != KWB_PROTOCOL)
@@ -195,14 +196,14 @@
 }
 
 static void
-on_close(void *context, uint64_t link, uint32_t tag)
+link_on_close(void *context, uint64_t link, uint32_t tag)
 {
 	(void)tag;
 	handle_link_closed(context, link);
 }
 
 static void
-on_heartbeat(void *context, uint64_t link, uint32_t tag)
+link_on_heartbeat(void *context, uint64_t link, uint32_t tag)
 {
 	struct kwb_agent *agent = context;
 	struct status_message message;
--- a/src/agent/http.c
+++ b/src/agent/http.c
@@ -7,8 +7,8 @@
 
 #include "agent.h"
 
-static int on_metrics(struct mg_connection *connection, void *context);
-static int on_health(struct mg_connection *connection, void *context);
+static int metrics_on_request(struct mg_connection *connection, void *context);
+static int health_on_request(struct mg_connection *connection, void *context);
 
 /* Starts the server; KWB_ERR_SYSTEM if it cannot listen on the address. */
 int
@@ -24,8 +24,10 @@
 	agent->http = mg_start(&callbacks, agent, options);
 	if (agent->http == NULL)
 		return KWB_ERR_SYSTEM;
-	mg_set_request_handler(agent->http, "/metrics$", on_metrics, agent);
-	mg_set_request_handler(agent->http, "/health$", on_health, agent);
+	mg_set_request_handler(
+	    agent->http, "/metrics$", metrics_on_request, agent);
+	mg_set_request_handler(
+	    agent->http, "/health$", health_on_request, agent);
 	return 0;
 }
 
@@ -39,7 +41,7 @@
 }
 
 static int
-on_metrics(struct mg_connection *connection, void *context)
+metrics_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_buf out;
 
@@ -55,7 +57,7 @@
 
 /* Answers 200, or 503 while the agent is leaving. */
 static int
-on_health(struct mg_connection *connection, void *context)
+health_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_agent *agent = context;
 
--- a/src/batch/end.c
+++ b/src/batch/end.c
@@ -12,7 +12,7 @@
 static void end_read(struct kwb_batch_end *end);
 
 static void
-end_done(struct kwb_batch_end *end, int error)
+end_finish(struct kwb_batch_end *end, int error)
 {
 	end->error = error;
 	kwb_log(KWB_LOG_INFO, "end", "event=%s batch=%s error=%s",
@@ -28,7 +28,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (now_ns + KWB_BATCH_RETRY_NS >= end->deadline_ns) {
-		end_done(end, error);
+		end_finish(end, error);
 		return;
 	}
 	end->reading = true;
@@ -44,7 +44,7 @@
 	if (answer->error == 0) {
 		end->record.revision = answer->revision;
 		records_update(end->batches, &end->record);
-		end_done(end, 0);
+		end_finish(end, 0);
 	} else if (answer->error == KWB_ERR_STORE_CONFLICT) {
 		end_read(end);
 	} else {
@@ -63,16 +63,16 @@
 		return;
 	}
 	if (answer->rows_count == 0) {
-		end_done(end, KWB_ERR_STORE_MISSING);
+		end_finish(end, KWB_ERR_STORE_MISSING);
 		return;
 	}
 	if (kwb_batch_record_parse(&end->record, &answer->rows[0]) != 0) {
-		end_done(end, KWB_ERR_STORE_UNREADABLE);
+		end_finish(end, KWB_ERR_STORE_UNREADABLE);
 		return;
 	}
 	records_update(end->batches, &end->record);
 	if (end->record.ended)
-		end_done(end, 0);
+		end_finish(end, 0);
 	else
 		end_write(end);
 }
@@ -132,11 +132,11 @@
 	end->call.context = end;
 	end->timer = kwb_timer_new(env->base, end_on_timer, end);
 	if (end->timer == NULL) {
-		end_done(end, KWB_ERR_MEMORY);
+		end_finish(end, KWB_ERR_MEMORY);
 		return;
 	}
 	if (record != NULL && record->ended) {
-		end_done(end, 0);
+		end_finish(end, 0);
 		return;
 	}
 	if (record == NULL) {
--- a/src/batch/read.c
+++ b/src/batch/read.c
@@ -14,7 +14,7 @@
 static void read_item_body(struct kwb_batch_read *read);
 
 static void
-read_done(struct kwb_batch_read *read, int error)
+read_finish(struct kwb_batch_read *read, int error)
 {
 	read->error = error;
 	if (read->in_list)
@@ -34,7 +34,7 @@
 	uint64_t now_ns = kwb_clock_now_ns();
 
 	if (now_ns + KWB_READ_RETRY_NS >= read->deadline_ns) {
-		read_done(read, error);
+		read_finish(read, error);
 		return;
 	}
 	kwb_timer_arm(read->timer, now_ns + KWB_READ_RETRY_NS);
@@ -55,7 +55,7 @@
 		return;
 	}
 	read->next = read->after + 1;
-	read_done(read,
+	read_finish(read,
 	    read->batches->env->forward->codec->write_results_page(
 		&text, 1, read->total, read->next, &read->answer));
 }
@@ -109,7 +109,7 @@
 		code = codec->write_results_page(
 		    results, count, read->total, read->next, &read->answer);
 	free(results);
-	read_done(read, code);
+	read_finish(read, code);
 }
 
 static void
@@ -164,16 +164,16 @@
 		return;
 	}
 	if (answer->rows_count == 0) {
-		read_done(read, KWB_ERR_STORE_MISSING);
+		read_finish(read, KWB_ERR_STORE_MISSING);
 		return;
 	}
 	if (kwb_batch_record_parse(&record, &answer->rows[0]) != 0) {
-		read_done(read, KWB_ERR_STORE_UNREADABLE);
+		read_finish(read, KWB_ERR_STORE_UNREADABLE);
 		return;
 	}
 	records_update(read->batches, &record);
 	if (batch_is_expired(read->batches, &record)) {
-		read_done(read, KWB_ERR_STORE_MISSING);
+		read_finish(read, KWB_ERR_STORE_MISSING);
 		return;
 	}
 	read->total = record.total;
@@ -234,7 +234,7 @@
 		code = add_item_body(&spec, read);
 		kwb_batch_spec_finish(&spec);
 	}
-	read_done(read, code);
+	read_finish(read, code);
 }
 
 static void
@@ -246,7 +246,7 @@
 	int code;
 
 	if (batch != NULL && batch->runs != NULL) {
-		read_done(read, add_item_body(&batch->spec, read));
+		read_finish(read, add_item_body(&batch->spec, read));
 		return;
 	}
 	batch_object_name(name, sizeof(name), read->batch);
@@ -285,7 +285,7 @@
 	read->call.context = read;
 	read->timer = kwb_timer_new(env->base, read_on_timer, read);
 	if (read->timer == NULL) {
-		read_done(read, KWB_ERR_MEMORY);
+		read_finish(read, KWB_ERR_MEMORY);
 		return;
 	}
 	if (record != NULL && !batch_is_expired(read->batches, record)) {
--- a/src/batch/run.c
+++ b/src/batch/run.c
@@ -155,7 +155,7 @@
 
 /* The headers of an answer name the version of weights that generates. */
 static void
-exchange_head(struct kwb_exchange *exchange)
+exchange_on_head(struct kwb_exchange *exchange)
 {
 	struct item_run *run = exchange->context;
 	struct kwb_upstream_answer answer;
@@ -185,7 +185,7 @@
 }
 
 static void
-exchange_data(struct kwb_exchange *exchange)
+exchange_on_data(struct kwb_exchange *exchange)
 {
 	struct item_run *run = exchange->context;
 	const struct kwb_route_entry *route;
@@ -242,7 +242,7 @@
 }
 
 static void
-exchange_done(struct kwb_exchange *exchange, int error)
+exchange_on_done(struct kwb_exchange *exchange, int error)
 {
 	struct item_run *run = exchange->context;
 	struct kwb_upstream_answer answer;
@@ -272,9 +272,9 @@
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
-    .on_head = exchange_head,
-    .on_data = exchange_data,
-    .on_done = exchange_done,
+    .on_head = exchange_on_head,
+    .on_data = exchange_on_data,
+    .on_done = exchange_on_done,
 };
 
 static int32_t
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -8,7 +8,7 @@
 #include "batch.h"
 
 static void
-score_done(struct kwb_forward *forward)
+score_on_done(struct kwb_forward *forward)
 {
 	struct item_run *run = forward->context;
 	const struct kwb_route_entry *route;
@@ -107,7 +107,7 @@
 	}
 	run->not_before_ns = UINT64_MAX;
 	memset(score, 0, sizeof(*score));
-	score->on_done = score_done;
+	score->on_done = score_on_done;
 	score->context = run;
 	score->env = env->forward;
 	score->request = (struct kwb_upstream_request){.method = "POST",
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -33,7 +33,8 @@
 static int query_send(struct dispatch *dispatch);
 static void bar_key(struct dispatch *dispatch);
 static void wait_for_outcome(struct dispatch *dispatch);
-static void apply_done(struct dispatch *dispatch, const Kwb__Wire__Done *done);
+static void dispatch_on_done(
+    struct dispatch *dispatch, const Kwb__Wire__Done *done);
 static void query_after_reconnect(struct dispatch *dispatch);
 static bool can_retry(const struct dispatch *dispatch);
 static void answer_set(
@@ -194,7 +195,7 @@
 
 		if (is_own && !link_lost &&
 		    event->frame->body_case == KWB__WIRE__FRAME__BODY_DONE) {
-			apply_done(dispatch, event->frame->done);
+			dispatch_on_done(dispatch, event->frame->done);
 			inbox_event_free(event);
 			return;
 		}
@@ -212,7 +213,7 @@
 }
 
 static void
-apply_done(struct dispatch *dispatch, const Kwb__Wire__Done *done)
+dispatch_on_done(struct dispatch *dispatch, const Kwb__Wire__Done *done)
 {
 	struct call_answer *answer = dispatch->answer;
 
--- a/src/entry/http.c
+++ b/src/entry/http.c
@@ -17,12 +17,12 @@
 #define WORKERS_RESERVED 4    /* for /health, /metrics and /status */
 #define TIMEOUT_MS_MAX 600000 /* that a caller may ask for */
 
-static int on_request(struct mg_connection *connection, void *context);
-static int on_health(struct mg_connection *connection, void *context);
-static int on_metrics(struct mg_connection *connection, void *context);
-static int on_status(struct mg_connection *connection, void *context);
-static void *on_thread_start(const struct mg_context *context, int type);
-static void on_thread_end(
+static int plans_on_request(struct mg_connection *connection, void *context);
+static int health_on_request(struct mg_connection *connection, void *context);
+static int metrics_on_request(struct mg_connection *connection, void *context);
+static int status_on_request(struct mg_connection *connection, void *context);
+static void *thread_on_start(const struct mg_context *context, int type);
+static void thread_on_end(
     const struct mg_context *context, int type, void *thread);
 static void dispatch(struct exchange *exchange);
 static void refuse_early(
@@ -54,16 +54,20 @@
 	struct mg_callbacks callbacks = {0};
 
 	snprintf(workers, sizeof(workers), "%u", entry->settings->workers);
-	callbacks.init_thread = on_thread_start;
-	callbacks.exit_thread = on_thread_end;
+	callbacks.init_thread = thread_on_start;
+	callbacks.exit_thread = thread_on_end;
 	mg_init_library(0);
 	entry->http = mg_start(&callbacks, entry, options);
 	if (entry->http == NULL)
 		return KWB_ERR_SYSTEM;
-	mg_set_request_handler(entry->http, "/v1/plans/", on_request, entry);
-	mg_set_request_handler(entry->http, "/health$", on_health, entry);
-	mg_set_request_handler(entry->http, "/metrics$", on_metrics, entry);
-	mg_set_request_handler(entry->http, "/status$", on_status, entry);
+	mg_set_request_handler(
+	    entry->http, "/v1/plans/", plans_on_request, entry);
+	mg_set_request_handler(
+	    entry->http, "/health$", health_on_request, entry);
+	mg_set_request_handler(
+	    entry->http, "/metrics$", metrics_on_request, entry);
+	mg_set_request_handler(
+	    entry->http, "/status$", status_on_request, entry);
 	return 0;
 }
 
@@ -102,7 +106,7 @@
 
 /* Handles the requests for plans. */
 static int
-on_request(struct mg_connection *connection, void *context)
+plans_on_request(struct mg_connection *connection, void *context)
 {
 	struct exchange exchange = {
 	    .entry = context,
@@ -129,7 +133,7 @@
 
 /* Every thread that reads the lists must be registered with them. */
 static void *
-on_thread_start(const struct mg_context *context, int type)
+thread_on_start(const struct mg_context *context, int type)
 {
 	(void)context;
 	(void)type;
@@ -138,7 +142,7 @@
 }
 
 static void
-on_thread_end(const struct mg_context *context, int type, void *thread)
+thread_on_end(const struct mg_context *context, int type, void *thread)
 {
 	(void)context;
 	(void)type;
@@ -282,7 +286,7 @@
 
 /* Healthy once the lists were read, until the entry drains. */
 static int
-on_health(struct mg_connection *connection, void *context)
+health_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_entry *entry = context;
 	bool is_healthy =
@@ -294,7 +298,7 @@
 }
 
 static int
-on_metrics(struct mg_connection *connection, void *context)
+metrics_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_buf out;
 
@@ -308,7 +312,7 @@
 }
 
 static int
-on_status(struct mg_connection *connection, void *context)
+status_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_entry *entry = context;
 	struct kwb_buf out;
--- a/src/forward/forward.c
+++ b/src/forward/forward.c
@@ -192,7 +192,7 @@
 }
 
 static void
-exchange_done(struct kwb_exchange *exchange, int error)
+exchange_on_done(struct kwb_exchange *exchange, int error)
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
@@ -215,7 +215,7 @@
 }
 
 static void
-exchange_head(struct kwb_exchange *exchange)
+exchange_on_head(struct kwb_exchange *exchange)
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
@@ -241,7 +241,7 @@
 
 /* A resumable stream is passed on in whole events only. */
 static void
-exchange_data(struct kwb_exchange *exchange)
+exchange_on_data(struct kwb_exchange *exchange)
 {
 	struct kwb_forward_attempt *attempt = exchange->context;
 	struct kwb_forward *forward = attempt->forward;
@@ -276,9 +276,9 @@
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
-    .on_head = exchange_head,
-    .on_data = exchange_data,
-    .on_done = exchange_done,
+    .on_head = exchange_on_head,
+    .on_data = exchange_on_data,
+    .on_done = exchange_on_done,
 };
 
 static void
--- a/src/member/peer_link.c
+++ b/src/member/peer_link.c
@@ -7,11 +7,11 @@
 
 #include "peer.h"
 
-static void on_open(void *context, uint64_t link, uint32_t tag);
-static void on_frame(
+static void link_on_open(void *context, uint64_t link, uint32_t tag);
+static void link_on_frame(
     void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame);
-static void on_close(void *context, uint64_t link, uint32_t tag);
-static void on_heartbeat(void *context, uint64_t link, uint32_t tag);
+static void link_on_close(void *context, uint64_t link, uint32_t tag);
+static void link_on_heartbeat(void *context, uint64_t link, uint32_t tag);
 static uint64_t heartbeat_period_ns(const struct peers *peers);
 static void peer_handle_hello(struct kwb_entry *entry, uint64_t link,
     uint32_t tag, const Kwb__Wire__Hello *hello);
@@ -23,10 +23,10 @@
 static uint32_t load_of_others(uint32_t reported, uint32_t own_in_flight);
 
 const struct kwb_link_ops peer_link_ops = {
-    .on_open = on_open,
-    .on_frame = on_frame,
-    .on_close = on_close,
-    .on_heartbeat = on_heartbeat,
+    .on_open = link_on_open,
+    .on_frame = link_on_frame,
+    .on_close = link_on_close,
+    .on_heartbeat = link_on_heartbeat,
 };
 
 void
@@ -59,7 +59,7 @@
 
 /* The tag of a link is the peer's index in the table. */
 static void
-on_open(void *context, uint64_t link, uint32_t tag)
+link_on_open(void *context, uint64_t link, uint32_t tag)
 {
 	struct kwb_entry *entry = context;
 	Kwb__Wire__Hello hello = KWB__WIRE__HELLO__INIT;
@@ -75,7 +75,8 @@
 }
 
 static void
-on_frame(void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame)
+link_on_frame(
+    void *context, uint64_t link, uint32_t tag, Kwb__Wire__Frame *frame)
 {
 	struct kwb_entry *entry = context;
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
@@ -122,7 +123,7 @@
 }
 
 static void
-on_close(void *context, uint64_t link, uint32_t tag)
+link_on_close(void *context, uint64_t link, uint32_t tag)
 {
 	struct kwb_entry *entry = context;
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
@@ -159,7 +160,7 @@
 }
 
 static void
-on_heartbeat(void *context, uint64_t link, uint32_t tag)
+link_on_heartbeat(void *context, uint64_t link, uint32_t tag)
 {
 	struct kwb_entry *entry = context;
 	struct peer *peer = &entry->peers.peers[tag % KWB_PEERS_MAX];
--- a/src/peer/peers.c
+++ b/src/peer/peers.c
@@ -106,7 +106,7 @@
 }
 
 static void
-read_done(struct kwb_peers *peers)
+read_finish(struct kwb_peers *peers)
 {
 	memcpy(peers->known, peers->found, sizeof(peers->known));
 	peers->known_count = peers->found_count;
@@ -135,7 +135,7 @@
 		read_start(peers, NULL);
 		return;
 	}
-	read_done(peers);
+	read_finish(peers);
 }
 
 static void
--- a/src/peer/relay.c
+++ b/src/peer/relay.c
@@ -100,7 +100,7 @@
 }
 
 static void
-on_accept(struct evconnlistener *listener, evutil_socket_t fd,
+relay_on_accept(struct evconnlistener *listener, evutil_socket_t fd,
     struct sockaddr *from, int from_bytes, void *context)
 {
 	struct kwb_relay *relay = context;
@@ -154,7 +154,7 @@
 	if (settings->peers.port == 0)
 		return 0;
 	return kwb_socket_listen(
-	    base, &settings->peers, on_accept, relay, &relay->listener);
+	    base, &settings->peers, relay_on_accept, relay, &relay->listener);
 }
 
 void
--- a/src/platform/http.c
+++ b/src/platform/http.c
@@ -26,9 +26,11 @@
 
 static void handle_key_init(void);
 static CURL *handle_of_thread(void);
-static size_t on_body(char *data, size_t size, size_t count, void *context);
-static size_t on_header(char *data, size_t size, size_t count, void *context);
-static int on_progress(void *context, curl_off_t download_total,
+static size_t request_on_body(
+    char *data, size_t size, size_t count, void *context);
+static size_t request_on_header(
+    char *data, size_t size, size_t count, void *context);
+static int request_on_progress(void *context, curl_off_t download_total,
     curl_off_t downloaded, curl_off_t upload_total, curl_off_t uploaded);
 static struct curl_slist *headers_create(
     const struct kwb_http_request *request);
@@ -160,12 +162,13 @@
 	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, is_new);
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, is_new);
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, request_on_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, exchange);
-	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
+	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, request_on_header);
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, exchange);
 	if (request->should_stop != NULL) {
-		curl_easy_setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
+		curl_easy_setopt(
+		    curl, CURLOPT_XFERINFOFUNCTION, request_on_progress);
 		curl_easy_setopt(curl, CURLOPT_XFERINFODATA, exchange);
 		curl_easy_setopt(curl, CURLOPT_NOPROGRESS, 0L);
 	}
@@ -181,7 +184,7 @@
 
 /* Returning another length than was given aborts the exchange. */
 static size_t
-on_body(char *data, size_t size, size_t count, void *context)
+request_on_body(char *data, size_t size, size_t count, void *context)
 {
 	struct exchange *exchange = context;
 	const struct kwb_http_request *request = exchange->request;
@@ -199,8 +202,8 @@
 
 /* Called by libcurl regularly during an exchange; 1 aborts it. */
 static int
-on_progress(void *context, curl_off_t download_total, curl_off_t downloaded,
-    curl_off_t upload_total, curl_off_t uploaded)
+request_on_progress(void *context, curl_off_t download_total,
+    curl_off_t downloaded, curl_off_t upload_total, curl_off_t uploaded)
 {
 	struct exchange *exchange = context;
 	const struct kwb_http_request *request = exchange->request;
@@ -213,7 +216,7 @@
 }
 
 static size_t
-on_header(char *data, size_t size, size_t count, void *context)
+request_on_header(char *data, size_t size, size_t count, void *context)
 {
 	struct exchange *exchange = context;
 	struct kwb_http_answer *answer = exchange->answer;
--- a/src/store/follow.c
+++ b/src/store/follow.c
@@ -106,7 +106,7 @@
 }
 
 static void
-page_done(struct kwb_follower *follower, const struct kwb_store_answer *answer)
+page_apply(struct kwb_follower *follower, const struct kwb_store_answer *answer)
 {
 	uint32_t i;
 
@@ -136,7 +136,7 @@
 }
 
 static void
-feed_done(struct kwb_follower *follower, const struct kwb_store_answer *answer)
+feed_apply(struct kwb_follower *follower, const struct kwb_store_answer *answer)
 {
 	uint32_t i;
 
@@ -170,9 +170,9 @@
 		follower->failures = 0;
 		follower->last_success_ns = kwb_clock_now_ns();
 		if (follower->reading)
-			page_done(follower, answer);
+			page_apply(follower, answer);
 		else
-			feed_done(follower, answer);
+			feed_apply(follower, answer);
 		follower_fetch(follower);
 		return;
 	}
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -83,7 +83,7 @@
 }
 
 static void
-assignment_row(void *context, const struct kwb_row *row)
+assignment_on_row(void *context, const struct kwb_row *row)
 {
 	struct kwb_weight_updater *updater = context;
 	struct kwb_replica *replica = replica_get(updater, row->key);
@@ -150,7 +150,8 @@
  */
 
 static void
-write_done(struct kwb_store_call *call, const struct kwb_store_answer *answer)
+write_on_answer(
+    struct kwb_store_call *call, const struct kwb_store_answer *answer)
 {
 	struct kwb_weight_updater *updater = call->context;
 
@@ -193,7 +194,7 @@
 	}
 	if (tx.put_count == 0)
 		return;
-	updater->write.on_done = write_done;
+	updater->write.on_done = write_on_answer;
 	updater->write.context = updater;
 	updater->write_pending =
 	    store->ops->transact(store, &tx, &updater->write) == 0;
@@ -364,7 +365,7 @@
 }
 
 static void
-updater_tick(int fd, short what, void *context)
+updater_on_timer(int fd, short what, void *context)
 {
 	struct kwb_weight_updater *updater = context;
 	const struct kwb_node_config *config = *updater->env->config;
@@ -417,13 +418,13 @@
 	updater->env = env;
 	updater->batches = batches;
 	TAILQ_INIT(&updater->replicas);
-	updater->timer = kwb_timer_new(env->base, updater_tick, updater);
+	updater->timer = kwb_timer_new(env->base, updater_on_timer, updater);
 	if (updater->timer == NULL)
 		return KWB_ERR_MEMORY;
 	kwb_timer_arm(
 	    updater->timer, kwb_clock_now_ns() + KWB_UPDATER_PERIOD_NS);
 	code = kwb_follower_init(&updater->rows, env->base, env->store,
-	    ASSIGNMENTS_TABLE, assignment_row, NULL, updater);
+	    ASSIGNMENTS_TABLE, assignment_on_row, NULL, updater);
 	if (code != 0)
 		return code;
 	return kwb_store_lease_init(&updater->lease, env->base, env->store,
--- a/src/weights/mover_order.c
+++ b/src/weights/mover_order.c
@@ -19,7 +19,7 @@
 
 /* Takes over the upstream's order count, versions and progress. */
 static void
-report_done(struct kwb_replica *replica, const struct kwb_message *message)
+report_on_answer(struct kwb_replica *replica, const struct kwb_message *message)
 {
 	struct kwb_weight_updater *updater = replica->updater;
 	struct kwb_upstream *upstream =
@@ -48,7 +48,7 @@
 }
 
 static void
-order_done(struct kwb_replica *replica, const struct kwb_message *message)
+order_on_answer(struct kwb_replica *replica, const struct kwb_message *message)
 {
 	struct kwb_weight_updater *updater = replica->updater;
 	struct kwb_upstream *upstream =
@@ -89,7 +89,7 @@
 }
 
 static void
-exchange_done(struct kwb_exchange *exchange, int error)
+exchange_on_done(struct kwb_exchange *exchange, int error)
 {
 	struct kwb_replica *replica = exchange->context;
 	bool was_order = replica->order_pending;
@@ -105,16 +105,16 @@
 		replica->busy_until_ns =
 		    kwb_clock_now_ns() + KWB_WEIGHT_LOAD_RETRY_NS;
 	} else if (was_order) {
-		order_done(replica, &answer);
+		order_on_answer(replica, &answer);
 	} else {
-		report_done(replica, &answer);
+		report_on_answer(replica, &answer);
 	}
 	kwb_message_finish(&answer);
 	updater_check_soon(replica->updater);
 }
 
 static const struct kwb_exchange_ops exchange_ops = {
-    .on_done = exchange_done,
+    .on_done = exchange_on_done,
 };
 
 /* Sends the request in `out` and frees it. */
