--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1328,9 +1328,10 @@
 
 /* What decides whether an item's reward is requested now. */
 struct kwb_score_input {
-	bool has_room; /* an upstream has slots beyond those kept for callers */
-	uint64_t waited_ns; /* since its text was complete */
-	uint64_t left_ns;   /* until its batch is due */
+	bool has_spare_slot; /* an upstream has slots beyond those kept for
+				callers */
+	uint64_t waited_ns;  /* since its text was complete */
+	uint64_t left_ns;    /* until its batch is due */
 };
 
 bool kwb_score_can_start(const struct kwb_score_input *input); /* pure */
--- a/src/batch/item.c
+++ b/src/batch/item.c
@@ -97,7 +97,7 @@
 bool
 kwb_score_can_start(const struct kwb_score_input *input)
 {
-	return input->has_room || input->waited_ns >= KWB_SCORE_WAIT_NS ||
+	return input->has_spare_slot || input->waited_ns >= KWB_SCORE_WAIT_NS ||
 	    input->left_ns <= KWB_SCORE_URGENT_NS;
 }
 
--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -67,7 +67,7 @@
 	    .waited_ns = now_ns - run->text_complete_ns,
 	    .left_ns = time_left_ns(run)};
 
-	input.has_room =
+	input.has_spare_slot =
 	    kwb_upstream_pick(env->forward->registry, &criteria) != NULL;
 	return !kwb_score_can_start(&input);
 }
--- a/tests/platform/decisions.c
+++ b/tests/platform/decisions.c
@@ -1503,7 +1503,7 @@
 
 	spare_pick.needs_free_slot = true;
 	spare_pick.spare_divisor = KWB_SCORE_SPARE_DIVISOR;
-	input.has_room = kwb_upstream_pick(registry, &spare_pick) != NULL;
+	input.has_spare_slot = kwb_upstream_pick(registry, &spare_pick) != NULL;
 	if (!request->is_call && keeps_spare_slots &&
 	    !kwb_score_can_start(&input))
 		return;
