--- a/fakes/fake-engine.c
+++ b/fakes/fake-engine.c
@@ -120,9 +120,10 @@
 static unsigned cache_next;  /* slot to fill next, modulo CACHE_ENTRIES_MAX */
 static const char *platform; /* URL; empty: orders fetch no weights */
 
-static int on_completions(struct mg_connection *connection, void *context);
-static int on_load(struct mg_connection *connection, void *context);
-static int on_orders(struct mg_connection *connection, void *context);
+static int completions_on_request(
+    struct mg_connection *connection, void *context);
+static int load_on_request(struct mg_connection *connection, void *context);
+static int orders_on_request(struct mg_connection *connection, void *context);
 static void *engine_run(void *argument);
 static uint64_t engine_step(void);
 static struct model *model_find(const char *name, bool create);
@@ -130,7 +131,7 @@
 static unsigned sequence_format_event(
     const struct sequence *sequence, char *line, size_t capacity_bytes);
 static void sequence_stop(struct sequence *sequence);
-static int on_cancel(struct mg_connection *connection, void *context);
+static int cancel_on_request(struct mg_connection *connection, void *context);
 static bool weights_fetch(const char *model, uint64_t version);
 
 int
@@ -161,16 +162,16 @@
 	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
 	pthread_create(&thread, NULL, engine_run, NULL);
 	mg_set_request_handler(
-	    context, "/v1/completions$", on_completions, NULL);
-	mg_set_request_handler(context, "/cancel$", on_cancel, NULL);
-	mg_set_request_handler(context, "/load$", on_load, NULL);
-	mg_set_request_handler(context, "/orders$", on_orders, NULL);
+	    context, "/v1/completions$", completions_on_request, NULL);
+	mg_set_request_handler(context, "/cancel$", cancel_on_request, NULL);
+	mg_set_request_handler(context, "/load$", load_on_request, NULL);
+	mg_set_request_handler(context, "/orders$", orders_on_request, NULL);
 	fake_wait_for_signal();
 	return 0;
 }
 
 static int
-on_completions(struct mg_connection *connection, void *context)
+completions_on_request(struct mg_connection *connection, void *context)
 {
 	struct sequence sequence = {0};
 	struct kwb_buf body;
@@ -273,7 +274,7 @@
  * sent. 404 if no such request runs or waits.
  */
 static int
-on_cancel(struct mg_connection *connection, void *context)
+cancel_on_request(struct mg_connection *connection, void *context)
 {
 	struct sequence *sequence;
 	struct kwb_buf name;
@@ -310,7 +311,7 @@
 
 /* GET /load: running sequences and models, as of up to load_lag_ms ago. */
 static int
-on_load(struct mg_connection *connection, void *context)
+load_on_request(struct mg_connection *connection, void *context)
 {
 	static char lagged[2048] = "{\"running\":0,\"models\":{}}";
 	static uint64_t lagged_ns;
@@ -351,7 +352,7 @@
  * outdated fencing token, 503 if the fetch fails, 500 if the swap fails.
  */
 static int
-on_orders(struct mg_connection *connection, void *context)
+orders_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_buf body;
 	struct model *model;
--- a/fakes/fake-platform.c
+++ b/fakes/fake-platform.c
@@ -37,10 +37,10 @@
 static pthread_mutex_t rows_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_mutex_t weights_lock = PTHREAD_MUTEX_INITIALIZER;
 
-static int on_table(struct mg_connection *connection, void *context);
-static int on_objects(struct mg_connection *connection, void *context);
-static int on_weights(struct mg_connection *connection, void *context);
-static int on_vms(struct mg_connection *connection, void *context);
+static int table_on_request(struct mg_connection *connection, void *context);
+static int objects_on_request(struct mg_connection *connection, void *context);
+static int weights_on_request(struct mg_connection *connection, void *context);
+static int vms_on_request(struct mg_connection *connection, void *context);
 static bool apply_faults(
     struct mg_connection *connection, const char *fault_control);
 static struct row *row_find(const char *path, bool create);
@@ -57,10 +57,10 @@
 	context = fake_start(
 	    fake_option(argc, argv, "--listen", "127.0.0.1:7000"),
 	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
-	mg_set_request_handler(context, "/table/", on_table, NULL);
-	mg_set_request_handler(context, "/objects/", on_objects, NULL);
-	mg_set_request_handler(context, "/weights/", on_weights, NULL);
-	mg_set_request_handler(context, "/vms$", on_vms, NULL);
+	mg_set_request_handler(context, "/table/", table_on_request, NULL);
+	mg_set_request_handler(context, "/objects/", objects_on_request, NULL);
+	mg_set_request_handler(context, "/weights/", weights_on_request, NULL);
+	mg_set_request_handler(context, "/vms$", vms_on_request, NULL);
 	fake_wait_for_signal();
 	return 0;
 }
@@ -71,7 +71,7 @@
  * the revision is unchanged.
  */
 static int
-on_table(struct mg_connection *connection, void *context)
+table_on_request(struct mg_connection *connection, void *context)
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	bool put = strcmp(info->request_method, "PUT") == 0;
@@ -142,7 +142,7 @@
 
 /* GET and PUT of an object. */
 static int
-on_objects(struct mg_connection *connection, void *context)
+objects_on_request(struct mg_connection *connection, void *context)
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	struct kwb_buf body;
@@ -178,7 +178,7 @@
  * 1 MB takes at weights_mb_s (0 for no limit).
  */
 static int
-on_weights(struct mg_connection *connection, void *context)
+weights_on_request(struct mg_connection *connection, void *context)
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	const char *version = strchr(info->local_uri + 9, '/');
@@ -225,7 +225,7 @@
  * list's revision.
  */
 static int
-on_vms(struct mg_connection *connection, void *context)
+vms_on_request(struct mg_connection *connection, void *context)
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	static struct kwb_buf now, next;
--- a/fakes/fake-service.c
+++ b/fakes/fake-service.c
@@ -25,9 +25,9 @@
 static struct kwb_buf journal; /* "METHOD PATH BODY" lines */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
-static int on_call(struct mg_connection *connection, void *context);
-static int on_health(struct mg_connection *connection, void *context);
-static int on_journal(struct mg_connection *connection, void *context);
+static int call_on_request(struct mg_connection *connection, void *context);
+static int health_on_request(struct mg_connection *connection, void *context);
+static int journal_on_request(struct mg_connection *connection, void *context);
 
 int
 main(int argc, char **argv)
@@ -37,15 +37,15 @@
 	context = fake_start(
 	    fake_option(argc, argv, "--listen", "127.0.0.1:7200"),
 	    SERVER_THREADS, controls, sizeof(controls) / sizeof(controls[0]));
-	mg_set_request_handler(context, "/journal$", on_journal, NULL);
-	mg_set_request_handler(context, "/health$", on_health, NULL);
-	mg_set_request_handler(context, "/**", on_call, NULL);
+	mg_set_request_handler(context, "/journal$", journal_on_request, NULL);
+	mg_set_request_handler(context, "/health$", health_on_request, NULL);
+	mg_set_request_handler(context, "/**", call_on_request, NULL);
 	fake_wait_for_signal();
 	return 0;
 }
 
 static int
-on_call(struct mg_connection *connection, void *context)
+call_on_request(struct mg_connection *connection, void *context)
 {
 	const struct mg_request_info *info = mg_get_request_info(connection);
 	struct kwb_buf body, answer;
@@ -79,7 +79,7 @@
 }
 
 static int
-on_health(struct mg_connection *connection, void *context)
+health_on_request(struct mg_connection *connection, void *context)
 {
 	char text[64];
 
@@ -91,7 +91,7 @@
 }
 
 static int
-on_journal(struct mg_connection *connection, void *context)
+journal_on_request(struct mg_connection *connection, void *context)
 {
 	struct kwb_buf copy;
 
--- a/fakes/fake.c
+++ b/fakes/fake.c
@@ -11,7 +11,7 @@
 static struct fake_control *controls;
 static unsigned controls_count;
 
-static int on_control(struct mg_connection *connection, void *context);
+static int control_on_request(struct mg_connection *connection, void *context);
 
 struct mg_context *
 fake_start(const char *listen, unsigned threads,
@@ -39,7 +39,7 @@
 		fprintf(stderr, "cannot listen on %s\n", listen);
 		exit(1);
 	}
-	mg_set_request_handler(context, "/control$", on_control, NULL);
+	mg_set_request_handler(context, "/control$", control_on_request, NULL);
 	return context;
 }
 
@@ -103,7 +103,7 @@
  * "GET /control?down" reads it.
  */
 static int
-on_control(struct mg_connection *connection, void *context)
+control_on_request(struct mg_connection *connection, void *context)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
 	size_t length = query ? strcspn(query, "=") : 0;
--- a/fakes/trainer.c
+++ b/fakes/trainer.c
@@ -29,7 +29,7 @@
 };
 
 static char *pull_body(const struct pull *pull);
-static bool on_data(void *context, const char *data, size_t length_bytes);
+static bool pull_on_data(void *context, const char *data, size_t length_bytes);
 static void pull_on_line(struct pull *pull, const char *text);
 static void pull_on_sample(struct pull *pull, json_t *root);
 static bool sample_is_correct(
@@ -52,7 +52,7 @@
 		char url[URL_MAX_BYTES];
 		struct kwb_http_request request = {.method = "POST",
 		    .url = url,
-		    .on_data = on_data,
+		    .on_data = pull_on_data,
 		    .context = &pull};
 		struct kwb_http_answer answer;
 		char *body;
@@ -129,7 +129,7 @@
 
 /* Splits the response into lines. */
 static bool
-on_data(void *context, const char *data, size_t length_bytes)
+pull_on_data(void *context, const char *data, size_t length_bytes)
 {
 	struct pull *pull = context;
 	const char *newline;
--- a/include/kwb_node.h
+++ b/include/kwb_node.h
@@ -1328,8 +1328,7 @@
 
 /* What decides whether an item's reward is requested now. */
 struct kwb_score_input {
-	bool has_spare_slot; /* an upstream has slots beyond those kept for
-				callers */
+	bool has_spare_slot; /* an upstream has one not kept for callers */
 	uint64_t waited_ns;  /* since its text was complete */
 	uint64_t left_ns;    /* until its batch is due */
 };
--- a/src/weights/mover.c
+++ b/src/weights/mover.c
@@ -393,7 +393,7 @@
 }
 
 static void
-lease_changed(void *context)
+lease_on_change(void *context)
 {
 	struct kwb_weight_updater *updater = context;
 	struct kwb_replica *replica;
@@ -430,7 +430,7 @@
 	return kwb_store_lease_init(&updater->lease, env->base, env->store,
 	    LEASE_NAME, env->settings->node,
 	    env->settings->lease_ms * KWB_MS_NS,
-	    env->settings->is_fencing_enforced, lease_changed, updater);
+	    env->settings->is_fencing_enforced, lease_on_change, updater);
 }
 
 void
--- a/tests/fuzz/answer.c
+++ b/tests/fuzz/answer.c
@@ -4,7 +4,7 @@
 #include "exchange.h"
 
 static void
-on_answer(const struct kwb_message *message)
+fuzz_on_answer(const struct kwb_message *message)
 {
 	struct kwb_upstream_answer answer;
 	struct kwb_upstream_report report;
@@ -18,6 +18,6 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t length_bytes)
 {
-	fuzz_feed(data, length_bytes, false, on_answer);
+	fuzz_feed(data, length_bytes, false, fuzz_on_answer);
 	return 0;
 }
--- a/tests/fuzz/request.c
+++ b/tests/fuzz/request.c
@@ -4,7 +4,7 @@
 #include "exchange.h"
 
 static void
-on_request(const struct kwb_message *message)
+fuzz_on_request(const struct kwb_message *message)
 {
 	struct kwb_request_head request;
 	struct kwb_batch_spec spec;
@@ -18,6 +18,6 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t length_bytes)
 {
-	fuzz_feed(data, length_bytes, true, on_request);
+	fuzz_feed(data, length_bytes, true, fuzz_on_request);
 	return 0;
 }
--- a/tests/fuzz/stream.c
+++ b/tests/fuzz/stream.c
@@ -16,7 +16,7 @@
 };
 
 static void
-on_event(void *context, const struct kwb_sse_event *event)
+stream_on_event(void *context, const struct kwb_sse_event *event)
 {
 	struct event_digest *digest = context;
 	size_t i;
@@ -47,7 +47,8 @@
 		if (kwb_buf_add(&bytes, data + offset,
 			left < chunk_bytes ? left : chunk_bytes) != 0)
 			abort();
-		code = kwb_sse_parser_feed(&events, &bytes, on_event, digest);
+		code = kwb_sse_parser_feed(
+		    &events, &bytes, stream_on_event, digest);
 	}
 	kwb_sse_parser_finish(&events);
 	kwb_buf_finish(&bytes);
