--- a/src/batch/score.c
+++ b/src/batch/score.c
@@ -8,7 +8,7 @@
 #include "batch.h"
 
 static void
-score_done(struct kwb_forward *forward)
+score_on_done(struct kwb_forward *forward)
 {
 	struct item_run *run = forward->context;
 	const struct kwb_route_entry *route;
@@ -67,7 +67,7 @@
 	    .waited_ns = now_ns - run->text_complete_ns,
 	    .left_ns = time_left_ns(run)};
 
-	input.has_room =
+	input.has_spare_slot =
 	    kwb_upstream_pick(env->forward->registry, &criteria) != NULL;
 	return !kwb_score_can_start(&input);
 }
@@ -107,7 +107,7 @@
 	}
 	run->not_before_ns = UINT64_MAX;
 	memset(score, 0, sizeof(*score));
-	score->on_done = score_done;
+	score->on_done = score_on_done;
 	score->context = run;
 	score->env = env->forward;
 	score->request = (struct kwb_upstream_request){.method = "POST",
