--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs two entries and five agents on loopback, with stand-ins for three model
-# engines, two plain services, the platform and a trainer. Pulls steps, sends
-# requests and prints the results.
+# Demonstrates the whole path of a request on loopback: two entries and five
+# agents, with stand-ins for three model engines, two plain services, the
+# platform and a trainer. Pulls steps, sends requests and prints the results.
 set -eu
 build=$1
 dir=$(mktemp -d)
@@ -74,7 +74,7 @@
 	cut -c1-100 "$dir/out"
 	echo
 done <examples/prompts.txt
-echo "--- the same call with one Idempotency-Key, through both entries"
+echo "--- an order with an idempotency key, sent through both entries"
 for i in 1 2; do
 	curl -s -i -X POST -H 'Idempotency-Key: demo-1' -d 'forty boxes' \
 		http://127.0.0.1:1800$i/v1/plans/orders/call/orders |
--- a/examples/lease.c
+++ b/examples/lease.c
@@ -21,11 +21,11 @@
 	kwb_lease_init(&lease, argv[2], "example", kwb_clock_wall_ms());
 	error = kwb_lease_acquire(&lease, &platform);
 	if (error == 0) {
-		printf("acquired with fencing token %llu\n",
+		printf("held with fencing token %llu\n",
 		    (unsigned long long)lease.fencing_token);
 		kwb_lease_release(&lease, &platform);
 	} else {
-		printf("not acquired: %s\n", kwb_error_name(error));
+		printf("not held: %s\n", kwb_error_name(error));
 	}
 	kwb_http_finish();
 	return error != 0;
