--- a/src/wire/kwb_wire.pb-c.h
+++ b/src/wire/kwb_wire.pb-c.h
@@ -49,6 +49,9 @@
   ProtobufCMessage base;
   char *model;
   uint64_t version;
+  /*
+   * The upstream is loading another version.
+   */
   protobuf_c_boolean swapping;
 };
 #define KWB__WIRE__MODEL_VERSION__INIT \
@@ -57,12 +60,15 @@
 
 
 /*
- * What one plan holds and uses at an agent.
+ * Share and use of one plan at an agent.
  */
 struct  Kwb__Wire__PlanUse
 {
   ProtobufCMessage base;
   char *plan;
+  /*
+   * Requests of the plan that may run here at a time.
+   */
   uint32_t units;
   uint32_t running;
 };
@@ -72,13 +78,20 @@
 
 
 /*
- * Hints about an agent and its upstream; never needed for safety.
+ * Load of an agent and its upstream. Only hints for routing: correctness does
+ * not depend on them, so they may be old or missing.
  */
 struct  Kwb__Wire__Status
 {
   ProtobufCMessage base;
+  /*
+   * The agent is shutting down and takes no new requests.
+   */
   protobuf_c_boolean leaving;
   protobuf_c_boolean upstream_up;
+  /*
+   * Requests that the upstream runs at a time.
+   */
   uint32_t slots;
   uint32_t running;
   uint32_t waiting;
@@ -93,7 +106,7 @@
 
 
 /*
- * First frame in each direction.
+ * First frame in each direction. Only an agent's has a pool and a status.
  */
 struct  Kwb__Wire__Hello
 {
@@ -111,11 +124,20 @@
     , 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, NULL }
 
 
+/*
+ * Sent periodically in both directions; a silent link is closed.
+ */
 struct  Kwb__Wire__Heartbeat
 {
   ProtobufCMessage base;
   uint64_t lists_revision;
+  /*
+   * Set by agents after changes, and now and then.
+   */
   Kwb__Wire__Status *status;
+  /*
+   * Set by entries: the platform lists this agent's VM as leaving.
+   */
   protobuf_c_boolean listed_leaving;
   /*
    * Set by entries: time between heartbeats on this link from now on.
@@ -128,7 +150,7 @@
 
 
 /*
- * The whole configuration document at a revision.
+ * The YAML document of plans and allowances at a revision.
  */
 struct  Kwb__Wire__Lists
 {
@@ -142,12 +164,15 @@
 
 
 /*
- * A run of tokens that one weight version produced.
+ * A run of consecutive tokens that one weight version generated.
  */
 struct  Kwb__Wire__Span
 {
   ProtobufCMessage base;
   uint64_t version;
+  /*
+   * Index of its first token in the generation.
+   */
   uint32_t first;
   uint32_t count;
 };
@@ -157,7 +182,7 @@
 
 
 /*
- * Place of a sample in a trainer's step.
+ * Position of a sample in a trainer's step.
  */
 struct  Kwb__Wire__Slot
 {
@@ -173,7 +198,7 @@
 
 
 /*
- * Asks an agent to run a request, or to attach to it when the key is known.
+ * Asks an agent to run a request, or to attach to the one that has the key.
  */
 struct  Kwb__Wire__Run
 {
@@ -182,10 +207,25 @@
   char *key;
   char *plan;
   uint64_t lists_revision;
+  /*
+   * The request is refused by any other process.
+   */
   uint64_t agent_incarnation;
+  /*
+   * Wall-clock time at which the key was created; 0 if it does not expire.
+   */
   uint64_t minted_ms;
+  /*
+   * Time left until the deadline.
+   */
   uint32_t budget_ms;
+  /*
+   * Higher starts first; above 0 is interactive.
+   */
   uint32_t priority;
+  /*
+   * Of equal priority, the request with the least slack starts first.
+   */
   uint32_t slack_ms;
   protobuf_c_boolean idempotent;
   /*
@@ -202,11 +242,20 @@
   char *prompt;
   uint32_t max_tokens;
   uint64_t seed;
+  /*
+   * Oldest weight version that may generate.
+   */
   uint64_t min_version;
+  /*
+   * Tokens generated so far, and their versions.
+   */
   size_t n_resume;
   char **resume;
   size_t n_resume_spans;
   Kwb__Wire__Span **resume_spans;
+  /*
+   * Only for a sample of a step.
+   */
   Kwb__Wire__Slot *slot;
 };
 #define KWB__WIRE__RUN__INIT \
@@ -215,7 +264,7 @@
 
 
 /*
- * Tokens of a generation, in order, from index first.
+ * Tokens of a generation from index first on, in order.
  */
 struct  Kwb__Wire__Progress
 {
@@ -233,20 +282,33 @@
 
 
 /*
- * Final outcome of a request: outcome is enum kwb_outcome.
+ * Final outcome of a request.
  */
 struct  Kwb__Wire__Done
 {
   ProtobufCMessage base;
   uint64_t request;
+  /*
+   * The outcome as an enum kwb_outcome.
+   */
   uint32_t outcome;
+  /*
+   * 0 or a KWB_ERR_ number.
+   */
   int32_t error;
+  /*
+   * HTTP status of the answer to a plain call.
+   */
   uint32_t status;
   char *content_type;
   ProtobufCBinaryData body;
+  /*
+   * As in Status.
+   */
   protobuf_c_boolean leaving;
   /*
-   * Load at the agent, this request still counted.
+   * Load of the agent, including this request: requests of its plan that run,
+   * and all requests.
    */
   char *plan;
   uint32_t plan_running;
@@ -258,7 +320,8 @@
 
 
 /*
- * Asks for the state of a key; bars it when it is not known.
+ * Asks for the state of the request that has a key. An agent that does not know
+ * the key bars it: no later request with it will run.
  */
 struct  Kwb__Wire__Query
 {
@@ -273,7 +336,8 @@
 
 
 /*
- * Ends interest in a request; unless keep is set, its work stops too.
+ * Detaches from a request. Unless keep is set, the agent stops running it when
+ * nothing else is attached.
  */
 struct  Kwb__Wire__Cancel
 {
@@ -287,7 +351,8 @@
 
 
 /*
- * Names a step's new attempt; fences lower ones and asks what is held.
+ * Announces a new attempt at a step: the agent refuses samples of lower
+ * attempts from now on, and reports what samples are held.
  */
 struct  Kwb__Wire__Find
 {
@@ -303,13 +368,16 @@
 
 
 /*
- * A sample that an agent runs or keeps.
+ * A sample that an agent runs, or keeps after it ended.
  */
 struct  Kwb__Wire__Held
 {
   ProtobufCMessage base;
   Kwb__Wire__Slot *slot;
   char *key;
+  /*
+   * Number of tokens generated so far.
+   */
   uint32_t tokens;
   protobuf_c_boolean done;
 };
@@ -318,6 +386,9 @@
     , NULL, (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Reply to Find: the samples of the step that the agent holds.
+ */
 struct  Kwb__Wire__Found
 {
   ProtobufCMessage base;
@@ -331,7 +402,8 @@
 
 
 /*
- * Orders an upstream to load a weight version, under a fencing token.
+ * Orders an agent's upstream to load a weight version. A fencing token lower
+ * than one seen before is refused.
  */
 struct  Kwb__Wire__Order
 {
@@ -347,6 +419,10 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Result of an order: error is 0 or a KWB_ERR_ number, version the one that the
+ * upstream has now, fencing_token the highest seen before.
+ */
 struct  Kwb__Wire__OrderReply
 {
   ProtobufCMessage base;
