--- a/cli/kwbctl.c
+++ b/cli/kwbctl.c
@@ -20,12 +20,12 @@
     {"get", ctl_get, "get [plans|allowances]",
 	"Prints the two lists in force as YAML, with their revision."},
     {"check", ctl_check, "check FILE...",
-	"Checks lists in files and reports all faults; changes nothing."},
+	"Checks lists in files and reports every fault; changes nothing."},
     {"diff", ctl_diff, "diff FILE...",
 	"Shows what applying the files would change; exits 1 if anything."},
     {"apply", ctl_apply, "apply FILE...",
-	"Applies lists from files. The revision in a file is the one that "
-	"it was\nedited from; later edits of other entries are kept. Prints "
+	"Applies lists from files. The revision in a file says what it "
+	"was\nedited from; later edits of other entries are kept. Prints "
 	"at how many\nentries and agents the new revision is in force, and "
 	"after how long."},
     {"edit", ctl_edit, "edit plan|allowance NAME FIELD=VALUE...",
--- a/daemons/daemon.c
+++ b/daemons/daemon.c
@@ -100,8 +100,8 @@
 	fprintf(out,
 	    "usage: %s --settings FILE [--check] [--debug]\n"
 	    "  --settings FILE  YAML settings of this process\n"
-	    "  --check          check the settings, then exit\n"
+	    "  --check          check the settings, then end\n"
 	    "  --debug          log at debug level\n"
-	    "  --version        print the version, then exit\n",
+	    "  --version        print the version, then end\n",
 	    program);
 }
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Demonstrates the whole path of a request on loopback: two entries and five
 # agents, with stand-ins for three model engines, two plain services, the
-# platform and a trainer. Pulls steps, sends requests and prints the results.
+# platform and a trainer. Pulls steps, sends requests and prints what came out.
 set -eu
 build=$1
 dir=$(mktemp -d)
@@ -80,7 +80,7 @@
 		http://127.0.0.1:1800$i/v1/plans/orders/call/orders |
 		grep -i 'HTTP/\|outcome\|done'
 done
-echo "--- calls that the services ran"
+echo "--- what the services ran"
 for i in 4 5; do curl -s http://127.0.0.1:1820$i/journal; done
 echo "--- counters of each entry"
 for i in 1 2; do
--- a/src/wire/kwb_wire.pb-c.h
+++ b/src/wire/kwb_wire.pb-c.h
@@ -198,7 +198,8 @@
 
 
 /*
- * Asks an agent to run a request, or to attach to the one that has the key.
+ * Asks an agent to run a request or, when the key is known, to attach to the
+ * request that has it.
  */
 struct  Kwb__Wire__Run
 {
@@ -320,8 +321,8 @@
 
 
 /*
- * Asks for the state of the request that has a key. An agent that does not know
- * the key bars it: no later request with it will run.
+ * Asks for the state of the request that has a key. When the key is not known,
+ * the agent bars it: no later request with it will run.
  */
 struct  Kwb__Wire__Query
 {
