--- a/tests/sanitize.sh
+++ b/tests/sanitize.sh
@@ -10,13 +10,13 @@
 code=0
 # The scripts mostly wait for timers, so they run in parallel with the others.
 scripts=$(mktemp)
-# pour.txt checks a limit on memory. The address sanitizer would hold back 256 MB
-# of freed memory, so that script runs with a quarantine of 8 MB.
+# endless_answers.txt checks a limit on memory. The address sanitizer would hold
+# back 256 MB of freed memory, so that script runs with a quarantine of 8 MB.
 (
-	mapfile -t others < <(ls tests/platform/scripts/*.txt | grep -v /pour.txt)
+	mapfile -t others < <(ls tests/platform/scripts/*.txt | grep -v /endless_answers.txt)
 	"$1/tests/platform/script" "${others[@]}" || exit 1
 	ASAN_OPTIONS=$ASAN_OPTIONS:quarantine_size_mb=8 \
-		"$1/tests/platform/script" tests/platform/scripts/pour.txt
+		"$1/tests/platform/script" tests/platform/scripts/endless_answers.txt
 ) >"$scripts" 2>&1 &
 scripts_pid=$!
 "$1/tests/unit" | tail -1 || code=1
